--- a/src/main/java/maplerail/Logic.java
+++ b/src/main/java/maplerail/Logic.java
@@ -184,7 +184,7 @@
         Request(Arrival asked, RequestClass kind, int client) {
             this.asked = asked;
             this.kind = kind;
-            this.worth = kind.worth();
+            this.worth = kind.priority();
             this.client = client;
             this.session = asked.session() != 0 ? asked.session() : random.nextLong();
             this.aimMs = now + kind.aimMs() + kind.aimMsPerToken() * asked.promptTokens();
@@ -229,7 +229,7 @@
         this.settings = settings;
         this.random = new SplittableRandom(settings.seed());
         this.engineClock = new EngineClock(settings.rules());
-        this.shares = new TenantShares(settings.tenants(), settings.routers());
+        this.shares = new TenantShares(settings.tenants(), settings.nodeCount());
     }
 
     @Override
@@ -249,7 +249,7 @@
     }
 
     private void onMembers(Members news) {
-        if (settings.askForList() && news.kind() == ListKind.REMEMBERED) actions.add(new Subscribe());
+        if (settings.mustSubscribe() && news.kind() == ListKind.REMEMBERED) actions.add(new Subscribe());
         if (news.kind() == ListKind.FAILED) {
             if (!askPending) setTimer(0, 0, TimerKind.ASK, now + ASK_AGAIN_MS);
             askPending = true;
@@ -290,7 +290,7 @@
         boolean tenant = arrival.tenant() < settings.tenants().size();
         Request request = new Request(arrival, settings.classes().get(arrival.kind()),
                 tenant ? classes + arrival.tenant() : arrival.kind());
-        if (tenant && shares.isOver(arrival.tenant(), now)) request.worth *= settings.overShareWorth();
+        if (tenant && shares.isOver(arrival.tenant(), now)) request.worth *= settings.overSharePriorityFactor();
         requests.put(arrival.id(), request);
         if (lastMoment(request) <= now) {
             giveUp(request, EndReason.DEADLINE);
@@ -330,12 +330,12 @@
         attempt.silent = !StateLease.isAnswer(ended.outcome()) && attempt.engine.heardMs < attempt.sentMs;
         attempt.unreachable = ended.outcome() == Outcome.UNREACHABLE;
         request.out--;
-        if (request.held) request.lease.attemptEnded(ended.outcome(), now);
+        if (request.held) request.lease.onAttemptEnded(ended.outcome(), now);
         if (ended.outcome() == Outcome.READ) hold(request);
         account(attempt, ended);
         recordOutcome(attempt, ended);
         if (request.phase == Phase.DONE) cleanUp(request);
-        else if (ended.outcome() == Outcome.SERVED || ended.closed()) close(request);
+        else if (ended.outcome() == Outcome.SERVED || ended.requestClosed()) close(request);
         else if (ended.outcome() == Outcome.READ) onRead(request, attempt);
         else onFailure(request, attempt, ended.outcome());
     }
@@ -454,8 +454,8 @@
         List<Engine> homes = key == 0 ? List.of() : able.stream()
                 .sorted(Comparator.comparingLong(e -> Rendezvous.weight(key, e.id)))
                 .limit((long) Math.max(1, count)).toList();
-        boolean sentByOthers = seen * (settings.routers() - 1) > homes.size();
-        request.homes = sentByOthers || history && settings.routers() > 1 ? homes : List.of();
+        boolean sentByOthers = seen * (settings.nodeCount() - 1) > homes.size();
+        request.homes = sentByOthers || history && settings.nodeCount() > 1 ? homes : List.of();
         request.assumed = history ? HISTORY * request.asked.promptTokens() : request.asked.prefixTokens();
         double longest = able.stream().mapToDouble(e -> matchedTokens(request, e)).max().orElse(0);
         return longest > 0 ? able.stream().filter(e -> matchedTokens(request, e) >= longest).toList() : homes;
@@ -533,7 +533,7 @@
         switch (ended.outcome()) {
             case READ -> {
                 // What was really read: other nodes' prompts decide what is kept.
-                double kept = Double.isNaN(ended.kept()) ? attempt.matched : Bounds.clamp(ended.kept());
+                double kept = Double.isNaN(ended.cachedTokens()) ? attempt.matched : Bounds.clamp(ended.cachedTokens());
                 double read = Math.max(0, attempt.request.asked.promptTokens() - kept);
                 attempt.cost += read - attempt.uncached;
                 observePace(attempt, ended.spentMs());
@@ -555,7 +555,7 @@
             }
             case ERROR, RESET, UNREACHABLE, TIMEOUT -> {
                 bad(engine, attempt);
-                engine.failedLast = !ended.outcome().neverRan;
+                engine.failedLast = !ended.outcome().hadNoEffect;
             }
             default -> {}
         }
@@ -675,7 +675,7 @@
     }
 
     private boolean send(Request request, Engine engine, boolean read, double uncached, double matched) {
-        if (ProtocolRules.attempt(request.state(), settings.limits()) != Reason.ALLOWED) {
+        if (ProtocolRules.checkAttempt(request.state(), settings.limits()) != Reason.ALLOWED) {
             giveUp(request, EndReason.ATTEMPTS_SPENT);
             return false;
         }
@@ -706,7 +706,7 @@
     private Predicate<Engine> repeatAllowed(Request request) {
         if (request.attempts.isEmpty()) return engine -> true;
         RequestState state = request.state();
-        return engine -> ProtocolRules.repeat(state, engine.target(), margin(), now) == Reason.ALLOWED;
+        return engine -> ProtocolRules.checkRepeat(state, engine.target(), margin(), now) == Reason.ALLOWED;
     }
 
     /** Whether another writer in service may be sent what one has, or may have, begun. */
@@ -740,7 +740,7 @@
      */
     private boolean coldRoom(Request request, Engine engine) {
         if (!cold(engine)) return true;
-        double fair = Math.max(1.0 / (1000 * settings.routers()), usual(engine).fairRate);
+        double fair = Math.max(1.0 / (1000 * settings.nodeCount()), usual(engine).fairRate);
         double share = usual(engine).coldShare * presentCapacity(engine);
         engine.coldBucket = Math.min(1, engine.coldBucket + (now - engine.coldAt) * fair * share);
         engine.coldAt = now;
@@ -951,7 +951,7 @@
         double whole = queue + (calmPace < Bounds.MOST ? calmPace * needed(request, reader) : 0);
         boolean shut = queue > QUEUED * limit && whole > ADMIT * limit;
         for (RequestClass other : settings.classes()) {
-            if (other.worth() > request.worth) limit = Math.min(limit, other.aimMs());
+            if (other.priority() > request.worth) limit = Math.min(limit, other.aimMs());
         }
         shut |= queue > ADMIT * limit;
         if (shut && now - shutToldMs >= SHUT_LOG_MS) {
@@ -1005,7 +1005,7 @@
     /** Ends a request unserved, at once; refused if a retry is harmless, to come when waits have faded. */
     private void giveUp(Request request, EndReason why) {
         if (request.phase == Phase.DONE || request.phase == Phase.STREAMING) return;
-        boolean harmless = ProtocolRules.refusal(request.state(), margin(), now) == Reason.ALLOWED;
+        boolean harmless = ProtocolRules.checkRefusal(request.state(), margin(), now) == Reason.ALLOWED;
         double leftMs = repeatUntilMs(request) - now;
         // A repeat inside its window does no harm: the client must be able to come back before its end.
         double most = Math.min(settings.limits().maxRetryAfterMs(), leftMs / 2);
--- a/src/main/java/maplerail/Router.java
+++ b/src/main/java/maplerail/Router.java
@@ -27,10 +27,10 @@
                 false), CANCELLED(false), NOT_SENT(true);
 
         /** True where the attempt is known to have had no effect. */
-        public final boolean neverRan;
+        public final boolean hadNoEffect;
 
-        Outcome(boolean neverRan) {
-            this.neverRan = neverRan;
+        Outcome(boolean hadNoEffect) {
+            this.hadNoEffect = hadNoEffect;
         }
     }
 
@@ -68,8 +68,8 @@
     /** A stream has begun. */
     record FirstToken(long id, int attempt, long engine, double spentMs) implements Event {}
 
-    /** An attempt is over; {@code kept} is the part of the prompt that needed no reading, NaN if it is not told. */
-    record Ended(long id, int attempt, long engine, Outcome outcome, double spentMs, double kept, boolean closed,
+    /** An attempt is over; {@code cachedTokens} is the part of the prompt that needed no reading, NaN if it is not told. */
+    record Ended(long id, int attempt, long engine, Outcome outcome, double spentMs, double cachedTokens, boolean requestClosed,
             Load load) implements Event {}
 
     /** Nobody waits for the request any more. */
@@ -82,13 +82,13 @@
     sealed interface Action permits Send, Cancel, Release, Reclaim, Refuse, Fail, SetTimer, Subscribe, FetchList, Log {}
 
     /**
-     * Make an attempt, which times out at {@code untilMs} and must not begin after {@code startByMs}; attempts of a
+     * Make an attempt, which times out at {@code deadlineMs} and must not begin after {@code startByMs}; attempts of a
      * request are numbered from 0.
      */
-    record Send(long id, long engine, double untilMs, double startByMs) implements Action {
+    record Send(long id, long engine, double deadlineMs, double startByMs) implements Action {
         /** An attempt that may begin at any time until it times out. */
-        public Send(long id, long engine, double untilMs) {
-            this(id, engine, untilMs, Double.POSITIVE_INFINITY);
+        public Send(long id, long engine, double deadlineMs) {
+            this(id, engine, deadlineMs, Double.POSITIVE_INFINITY);
         }
     }
 
@@ -124,7 +124,7 @@
     }
 
     /** End the request; the client may safely come again, after {@code retryAfterMs} if that is above 0. */
-    record Refuse(long id, double retryAfterMs, EndReason why) implements Action {
+    record Refuse(long id, double retryAfterMs, EndReason reason) implements Action {
         /** A refusal whose reason is not told. */
         public Refuse(long id, double retryAfterMs) {
             this(id, retryAfterMs, EndReason.UNTOLD);
@@ -132,7 +132,7 @@
     }
 
     /** End the request with an error that promises nothing. */
-    record Fail(long id, EndReason why) implements Action {
+    record Fail(long id, EndReason reason) implements Action {
         /** A failure whose reason is not told. */
         public Fail(long id) {
             this(id, EndReason.UNTOLD);
@@ -152,7 +152,7 @@
     record Log(String text) implements Action {}
 
     /** A class of requests. */
-    record RequestClass(double aimMs, double aimMsPerToken, double deadlineMs, double tokenAimMs, double worth,
+    record RequestClass(double aimMs, double aimMsPerToken, double deadlineMs, double tokenAimMs, double priority,
             double lateShare, Repeat repeat, Scope scope, double keyTtlMs) {}
 
     /** A tenant and the requests a second, over all nodes, that are within its share; 0 for no limit. */
@@ -171,8 +171,8 @@
 
     /**
      * What the module is told at the start of its life. All its draws come from {@code seed}, which should differ
-     * from node to node. An {@code overShareWorth} of 1 makes shares idle.
+     * from node to node. An {@code overSharePriorityFactor} of 1 makes shares idle.
      */
-    record Settings(long seed, int routers, int zone, double tickMs, boolean askForList, double overShareWorth,
+    record Settings(long seed, int nodeCount, int zone, double tickMs, boolean mustSubscribe, double overSharePriorityFactor,
             List<RequestClass> classes, List<Tenant> tenants, List<Kind> kinds, Limits limits, Rules rules) {}
 }
--- a/src/main/java/maplerail/cli/Gateway.java
+++ b/src/main/java/maplerail/cli/Gateway.java
@@ -98,7 +98,7 @@
         double longestDeadlineMs = settings.classes().stream().mapToDouble(Router.RequestClass::deadlineMs).max()
                 .orElse(0);
         front = new PlatformFront(broker, config.names(), lifecycle, loop, longestDeadlineMs);
-        watch = new PlatformWatch(pool, loop, config.discovery(), config.names(), settings.routers(),
+        watch = new PlatformWatch(pool, loop, config.discovery(), config.names(), settings.nodeCount(),
                 settings.seed(), this::hear);
         tools = on ? new ToolServices(toolsConfig, loop, buffers, settings.seed(), sockets * TOOLS_PERCENT / 100)
                 : null;
@@ -157,7 +157,7 @@
     private void remember(EngineList known) {
         if (known == null) return;
         unconfirmed = known;
-        boolean pushed = !config.settings().askForList();
+        boolean pushed = !config.settings().mustSubscribe();
         if (!known.members().isEmpty()) watch.from(known.version(), pushed);
         if (pushed && !known.members().isEmpty()) loop.at(loop.nowMs() + CONFIRM_MS, this::useRememberedList);
         else useRememberedList();
--- a/src/main/java/maplerail/core/AttemptRunner.java
+++ b/src/main/java/maplerail/core/AttemptRunner.java
@@ -61,7 +61,7 @@
         if (active == null) return;
         ActiveRequest.Attempt attempt = new ActiveRequest.Attempt(active, order.engine(),
                 fleet.target(order.engine()), loop.nowMs());
-        double until = order.untilMs() > 0 ? Math.min(order.untilMs(), active.deadlineMs) : active.deadlineMs;
+        double until = order.deadlineMs() > 0 ? Math.min(order.deadlineMs(), active.deadlineMs) : active.deadlineMs;
         Reason verdict = verdict(active, order.engine());
         if (verdict == Reason.ALLOWED && until <= loop.nowMs()) verdict = Reason.DEADLINE_PASSED;
         active.attempts.add(attempt);
@@ -96,7 +96,7 @@
     /** Whether an attempt may go out now, by what has really happened; looks whether its client is still there. */
     private Reason verdict(ActiveRequest active, long engine) {
         if (!active.answered && active.caller.hasLeft()) gone.accept(active);
-        return ProtocolRules.send(active.state(settings.classes()), fleet.target(engine), settings.limits(),
+        return ProtocolRules.checkSend(active.state(settings.classes()), fleet.target(engine), settings.limits(),
                 loop.nowMs());
     }
 
@@ -109,7 +109,7 @@
         ActiveRequest active = attempt.active;
         if (!active.answered && active.caller.hasLeft()) gone.accept(active);
         if (attempt.ended) return false;
-        Reason verdict = ProtocolRules.begin(active.state(settings.classes()), fleet.target(attempt.engine),
+        Reason verdict = ProtocolRules.checkBegin(active.state(settings.classes()), fleet.target(attempt.engine),
                 loop.nowMs());
         if (verdict == Reason.ALLOWED && loop.nowMs() >= startByMs) verdict = Reason.REPEAT_WINDOW_OVER;
         if (verdict == Reason.ALLOWED) return true;
@@ -229,7 +229,7 @@
         if (attempt.ended) return;
         Outcome proven = attempt.sending.unsent() && outcome == Outcome.CANCELLED ? Outcome.NOT_SENT : outcome;
         attempt.sending.abort();
-        if (attempt.reader && !proven.neverRan) attempt.active.cutReadsMs.put(attempt.engine, loop.nowMs());
+        if (attempt.reader && !proven.hadNoEffect) attempt.active.cutReadsMs.put(attempt.engine, loop.nowMs());
         ended(attempt, proven, 0);
     }
 
@@ -262,7 +262,7 @@
         if (outcome == told) held.attemptEnded(active, outcome);
         if (outcome == Outcome.READ) held.granted(active, attempt.engine);
         // A read that was cut off may have ended well just then.
-        if (attempt.reader && !outcome.neverRan) held.unanswered(active, attempt);
+        if (attempt.reader && !outcome.hadNoEffect) held.unanswered(active, attempt);
         // So may one whose connection broke: nobody has told its reader to stop.
         if (attempt.reader && outcome == Outcome.RESET) active.cutReadsMs.put(attempt.engine, loop.nowMs());
         // An answer may be whole without an event; it is the caller's all the same.
--- a/src/main/java/maplerail/core/Broker.java
+++ b/src/main/java/maplerail/core/Broker.java
@@ -120,7 +120,7 @@
         else if (action instanceof Router.Release order) withRequest(order.id(), held::release);
         else if (action instanceof Router.Reclaim order) withRequest(order.id(), held::reclaim);
         else if (action instanceof Router.Refuse refuse) refuse(refuse);
-        else if (action instanceof Router.Fail fail) fail(fail.id(), Why.ENGINE, fail.why());
+        else if (action instanceof Router.Fail fail) fail(fail.id(), Why.ENGINE, fail.reason());
         else if (action instanceof Router.SetTimer timer) {
             loop.at(timer.atMs(), () -> decisions.tell(new Router.Timer(timer.token())));
         } else if (action instanceof Router.Log line) log.accept(line.text());
@@ -135,17 +135,17 @@
     private void refuse(Router.Refuse order) {
         ActiveRequest active = registry.find(order.id());
         if (active == null || active.answered) return;
-        Reason verdict = ProtocolRules.refusal(active.state(settings.classes()), 0, loop.nowMs());
+        Reason verdict = ProtocolRules.checkRefusal(active.state(settings.classes()), 0, loop.nowMs());
         if (verdict != Reason.ALLOWED) {
             monitor.breach(RuleMonitor.Breach.REFUSAL_WITHHELD, active.request.id(), verdict.name());
-            fail(order.id(), Why.ENGINE, order.why());
+            fail(order.id(), Why.ENGINE, order.reason());
             return;
         }
         registry.answer(active);
         registry.settle(active);
         counters.count(FinalAnswer.REFUSED);
-        counters.count(order.why());
-        failureLog.bad(active, "refused (" + order.why() + ")");
+        counters.count(order.reason());
+        failureLog.bad(active, "refused (" + order.reason() + ")");
         active.caller.refuse(Why.OVERLOAD, order.retryAfterMs());
     }
 
--- a/src/main/java/maplerail/core/HeldStates.java
+++ b/src/main/java/maplerail/core/HeldStates.java
@@ -83,7 +83,7 @@
 
     /** An attempt has ended: an answer of its engine proves that it was out until now. */
     void attemptEnded(ActiveRequest active, Router.Outcome outcome) {
-        active.holds.values().forEach(lease -> lease.attemptEnded(outcome, loop.inputSinceMs()));
+        active.holds.values().forEach(lease -> lease.onAttemptEnded(outcome, loop.inputSinceMs()));
         if (active.anyOut()) return;
         // An engine keeps what a write waits for that has arrived after all: its time begins with the end of that.
         if (outcome != Router.Outcome.STATE_GONE) active.reclaimed.forEach(engine -> granted(active, engine));
@@ -137,7 +137,7 @@
     }
 
     private void check(ActiveRequest active, long engine, StateLease lease) {
-        double heldMs = loop.nowMs() - lease.sinceMs();
+        double heldMs = loop.nowMs() - lease.termStartMs();
         if (heldMs <= termMs + SLACK_MS) return;
         monitor.breach(Breach.STATE_HELD, active.request.id(), "at " + Long.toHexString(engine) + " for "
                 + Math.round(heldMs) + " ms");
@@ -146,7 +146,7 @@
     private void tell(ActiveRequest active, long engine, Reason reason, StateLease lease) {
         if (!admitsLine()) return;
         log.accept("state of " + active.request.id() + " at " + Long.toHexString(engine) + " let go (" + reason
-                + ") after " + Math.round(loop.nowMs() - lease.sinceMs()) + " ms;" + active.history(loop.nowMs()));
+                + ") after " + Math.round(loop.nowMs() - lease.termStartMs()) + " ms;" + active.history(loop.nowMs()));
     }
 
     /** What a cut read may have left has no lease, and waits for the end of the attempts that followed. */
--- a/src/main/java/maplerail/front/ClientListener.java
+++ b/src/main/java/maplerail/front/ClientListener.java
@@ -299,7 +299,7 @@
     private int end(State state, double leastMs, int atMost, double now) {
         List<StreamConnection> longest = tracked.entrySet().stream()
                 .filter(e -> e.getValue().state == state
-                        && ProtocolRules.close(false, now - e.getValue().quietSinceMs(), leastMs) == Reason.ALLOWED)
+                        && ProtocolRules.checkClose(false, now - e.getValue().quietSinceMs(), leastMs) == Reason.ALLOWED)
                 .sorted((a, b) -> Double.compare(a.getValue().quietSinceMs(), b.getValue().quietSinceMs()))
                 .limit(Math.max(0, atMost)).map(Map.Entry::getKey).toList();
         longest.forEach(this::turnOutIfQuiet);
@@ -311,7 +311,7 @@
         List<StreamConnection> idle = new ArrayList<>();
         tracked.forEach((connection, client) -> {
             boolean inUse = client.state != State.IDLE && client.state != State.SILENT;
-            if (ProtocolRules.close(inUse, 0, 0) == Reason.ALLOWED) idle.add(connection);
+            if (ProtocolRules.checkClose(inUse, 0, 0) == Reason.ALLOWED) idle.add(connection);
         });
         idle.stream().filter(StreamConnection::isOpen).forEach(connection -> {
             counters.count(Closed.SHUTTING_DOWN);
--- a/src/main/java/maplerail/front/platform/PlatformFront.java
+++ b/src/main/java/maplerail/front/platform/PlatformFront.java
@@ -109,7 +109,7 @@
         }
         // Guards against clients that go on using a connection which a long stream kept open: what is taken now may
         // outlast the time that is left to end it, and a repeat is served by another gateway.
-        Reason verdict = ProtocolRules.start(!lifecycle.phase().takes());
+        Reason verdict = ProtocolRules.checkAccept(!lifecycle.phase().takes());
         if (verdict != Reason.ALLOWED) {
             broker.counters().count(verdict);
             answer.refuse(Caller.Why.OVERLOAD, 0);
--- a/src/main/java/maplerail/policy/PriorAttempt.java
+++ b/src/main/java/maplerail/policy/PriorAttempt.java
@@ -19,6 +19,6 @@
 
     /** True unless it is a read, which has no effect however it ends, or its end proves that it had none. */
     public boolean mayHaveRun() {
-        return target.role() != Role.READ && (out() || !end.neverRan);
+        return target.role() != Role.READ && (out() || !end.hadNoEffect);
     }
 }
--- a/src/main/java/maplerail/policy/ProtocolRules.java
+++ b/src/main/java/maplerail/policy/ProtocolRules.java
@@ -46,22 +46,22 @@
     private ProtocolRules() {}
 
     /** Whether an attempt may go out now. */
-    public static Reason send(RequestState request, Target target, Limits limits, double nowMs) {
-        Reason begin = begin(request, target, nowMs);
+    public static Reason checkSend(RequestState request, Target target, Limits limits, double nowMs) {
+        Reason begin = checkBegin(request, target, nowMs);
         if (begin != Reason.ALLOWED) return begin;
-        Reason once = attempt(request, limits);
-        return once == Reason.ALLOWED ? repeat(request, target, 0, nowMs) : once;
+        Reason once = checkAttempt(request, limits);
+        return once == Reason.ALLOWED ? checkRepeat(request, target, 0, nowMs) : once;
     }
 
     /** Whether an attempt that counts already, but of which not a byte has gone out, may still begin now. */
-    public static Reason begin(RequestState request, Target target, double nowMs) {
+    public static Reason checkBegin(RequestState request, Target target, double nowMs) {
         if (request.over()) return Reason.REQUEST_OVER;
         if (nowMs >= request.deadlineMs()) return Reason.DEADLINE_PASSED;
         return target.inService() ? Reason.ALLOWED : Reason.ENGINE_NOT_IN_SERVICE;
     }
 
     /** Whether a further attempt may be out, wherever it goes. */
-    public static Reason attempt(RequestState request, Limits limits) {
+    public static Reason checkAttempt(RequestState request, Limits limits) {
         if (request.over()) return Reason.REQUEST_OVER;
         if (request.attempts().size() >= limits.maxAttempts()) return Reason.ATTEMPTS_SPENT;
         if (request.anyOut() && !limits.secondCopies()) return Reason.ATTEMPT_OUT;
@@ -72,7 +72,7 @@
      * Whether an attempt at an engine may follow earlier ones. An attempt binds all later ones, also those that only
      * read, while it is out, and for good if it may have run.
      */
-    public static Reason repeat(RequestState request, Target target, double marginMs, double nowMs) {
+    public static Reason checkRepeat(RequestState request, Target target, double marginMs, double nowMs) {
         PriorAttempt first = request.firstThatBinds();
         if (first == null || isPure(request)) return Reason.ALLOWED;
         if (request.requestClass().repeat() == Repeat.UNSAFE) {
@@ -104,7 +104,7 @@
     }
 
     /** Whether the client may be told that trying again is harmless. */
-    public static Reason refusal(RequestState request, double marginMs, double nowMs) {
+    public static Reason checkRefusal(RequestState request, double marginMs, double nowMs) {
         if (isPure(request)) return Reason.ALLOWED;
         boolean everywhere = request.requestClass().repeat() == Repeat.KEYED
                 && request.requestClass().scope() == Scope.ALL;
@@ -117,12 +117,12 @@
     }
 
     /** Whether a request that has arrived may be taken. */
-    public static Reason start(boolean shuttingDown) {
+    public static Reason checkAccept(boolean shuttingDown) {
         return shuttingDown ? Reason.SHUTTING_DOWN : Reason.ALLOWED;
     }
 
     /** Whether a client's connection may be closed that has been without a request for so long. */
-    public static Reason close(boolean inUse, double idleMs, double leastIdleMs) {
+    public static Reason checkClose(boolean inUse, double idleMs, double leastIdleMs) {
         if (inUse) return Reason.CONNECTION_IN_USE;
         return idleMs >= leastIdleMs ? Reason.ALLOWED : Reason.CONNECTION_FRESH;
     }
--- a/src/main/java/maplerail/policy/StateLease.java
+++ b/src/main/java/maplerail/policy/StateLease.java
@@ -16,12 +16,12 @@
     private static final double UNUSUAL = 3;
 
     private final double termMs;
-    private double sinceMs;
+    private double termStartMs;
 
     /** Makes a lease of so long that begins now. */
     public StateLease(double termMs, double nowMs) {
         this.termMs = termMs;
-        this.sinceMs = nowMs;
+        this.termStartMs = nowMs;
     }
 
     /** Whether an outcome is an answer of an engine that runs; all others are what this side saw or decided. */
@@ -33,18 +33,18 @@
     }
 
     /** An attempt of the request has ended: if an engine answered it, the term begins anew. */
-    public void attemptEnded(Outcome outcome, double nowMs) {
-        if (isAnswer(outcome)) sinceMs = nowMs;
+    public void onAttemptEnded(Outcome outcome, double nowMs) {
+        if (isAnswer(outcome)) termStartMs = nowMs;
     }
 
     /** Since when nothing proves that an attempt was out. */
-    public double sinceMs() {
-        return sinceMs;
+    public double termStartMs() {
+        return termStartMs;
     }
 
     /** When the state must have been taken or let go. */
     public double expiresMs() {
-        return sinceMs + termMs;
+        return termStartMs + termMs;
     }
 
     /**
@@ -53,6 +53,6 @@
      */
     public double doubtMs(double sentMs, double usualWaitMs, double marginMs) {
         double unusualMs = sentMs + (usualWaitMs > 0 ? UNUSUAL * usualWaitMs : 0); // NaN: not known
-        return Math.min(Math.max(unusualMs, sinceMs + DOUBT_TERMS * termMs), expiresMs() - marginMs);
+        return Math.min(Math.max(unusualMs, termStartMs + DOUBT_TERMS * termMs), expiresMs() - marginMs);
     }
 }
--- a/src/main/java/maplerail/sim/Codec.java
+++ b/src/main/java/maplerail/sim/Codec.java
@@ -235,7 +235,7 @@
             if (action instanceof Router.Send send) {
                 ByteBuffer to = start(1060).putLong(send.id());
                 engine(to, send.engine());
-                to.putDouble(send.untilMs());
+                to.putDouble(send.deadlineMs());
             } else if (action instanceof Router.Cancel cancel) {
                 start(1090).putLong(cancel.id()).put((byte) cancel.attempt());
             } else if (action instanceof Router.Release release) {
--- a/src/test/java/maplerail/LogicTest.java
+++ b/src/test/java/maplerail/LogicTest.java
@@ -42,7 +42,7 @@
         Node node = small();
         node.arrive(1);
         assertTrue(node.sent().engine() < 10);
-        assertEquals(6_000, node.sent().untilMs());
+        assertEquals(6_000, node.sent().deadlineMs());
         node.end(1, 0, Outcome.READ);
         assertTrue(node.sent().engine() > 10);
         node.first(1, 1);
--- a/src/test/java/maplerail/core/BrokerTest.java
+++ b/src/test/java/maplerail/core/BrokerTest.java
@@ -23,8 +23,8 @@
         loop.until(20_000);
         assertThat(caller).containsExactly("event", "event", "end");
         assertThat(told).filteredOn(e -> e instanceof Router.FirstToken).hasSize(1);
-        assertThat(((Ended) told.get(1)).kept()).isEqualTo(7);
-        assertThat(((Ended) told.get(told.size() - 1)).closed()).isTrue();
+        assertThat(((Ended) told.get(1)).cachedTokens()).isEqualTo(7);
+        assertThat(((Ended) told.get(told.size() - 1)).requestClosed()).isTrue();
         assertThat(released).isEmpty();
         assertThat(broker.remembered()).isZero();
     }
--- a/src/test/java/maplerail/policy/ProtocolRulesTest.java
+++ b/src/test/java/maplerail/policy/ProtocolRulesTest.java
@@ -36,7 +36,7 @@
     }
 
     private static Reason send(RequestState state, Target target, double nowMs) {
-        return ProtocolRules.send(state, target, LIMITS, nowMs);
+        return ProtocolRules.checkSend(state, target, LIMITS, nowMs);
     }
 
     @Test
@@ -54,7 +54,7 @@
         assertThat(send(state(Repeat.PURE, Scope.ALL, 3, 0, null), WRITER, 0)).isEqualTo(Reason.ATTEMPTS_SPENT);
         assertThat(send(state(Repeat.PURE, Scope.ALL, 1, 1, null), WRITER, 0)).isEqualTo(Reason.ATTEMPT_OUT);
         Limits copies = new Limits(3, true, true, true, 1_000, false);
-        assertThat(ProtocolRules.attempt(state(Repeat.PURE, Scope.ALL, 1, 1, null), copies)).isEqualTo(Reason.ALLOWED);
+        assertThat(ProtocolRules.checkAttempt(state(Repeat.PURE, Scope.ALL, 1, 1, null), copies)).isEqualTo(Reason.ALLOWED);
     }
 
     @Test
@@ -80,20 +80,20 @@
         assertThat(refusal(Repeat.UNSAFE, Scope.ALL, 0, first)).isEqualTo(Reason.MAY_HAVE_RUN);
         assertThat(refusal(Repeat.KEYED, Scope.ALL, 0, first)).isEqualTo(Reason.ALLOWED);
         assertThat(refusal(Repeat.KEYED, Scope.ZONE, 0, first)).isEqualTo(Reason.OUTSIDE_REPEAT_SCOPE);
-        assertThat(ProtocolRules.refusal(state(Repeat.KEYED, Scope.ALL, 1, 0, first), 10, 1_090))
+        assertThat(ProtocolRules.checkRefusal(state(Repeat.KEYED, Scope.ALL, 1, 0, first), 10, 1_090))
                 .isEqualTo(Reason.REPEAT_WINDOW_OVER);
     }
 
     private static Reason refusal(Repeat repeat, Scope scope, int out, PriorAttempt first) {
-        return ProtocolRules.refusal(state(repeat, scope, 1, out, first), 0, 200);
+        return ProtocolRules.checkRefusal(state(repeat, scope, 1, out, first), 0, 200);
     }
 
     @Test
     void aConnectionIsClosedOnlyWhenItIsNotInUseAndItsClientNoLongerReliesOnIt() {
-        assertThat(ProtocolRules.close(true, 9_000, 2_000)).isEqualTo(Reason.CONNECTION_IN_USE);
-        assertThat(ProtocolRules.close(false, 1_999, 2_000)).isEqualTo(Reason.CONNECTION_FRESH);
-        assertThat(ProtocolRules.close(false, 2_000, 2_000)).isEqualTo(Reason.ALLOWED);
-        assertThat(ProtocolRules.start(true)).isEqualTo(Reason.SHUTTING_DOWN);
-        assertThat(ProtocolRules.start(false)).isEqualTo(Reason.ALLOWED);
+        assertThat(ProtocolRules.checkClose(true, 9_000, 2_000)).isEqualTo(Reason.CONNECTION_IN_USE);
+        assertThat(ProtocolRules.checkClose(false, 1_999, 2_000)).isEqualTo(Reason.CONNECTION_FRESH);
+        assertThat(ProtocolRules.checkClose(false, 2_000, 2_000)).isEqualTo(Reason.ALLOWED);
+        assertThat(ProtocolRules.checkAccept(true)).isEqualTo(Reason.SHUTTING_DOWN);
+        assertThat(ProtocolRules.checkAccept(false)).isEqualTo(Reason.ALLOWED);
     }
 }
--- a/src/test/java/maplerail/policy/RepeatRuleTableTest.java
+++ b/src/test/java/maplerail/policy/RepeatRuleTableTest.java
@@ -116,16 +116,16 @@
         Before first = before.stream().filter(Before::binds).findFirst().orElse(null);
         boolean inWindow = nowMs < SENT_MS + WINDOW_MS;
         String row = repeat + " " + scope + " at " + nowMs + " after " + before;
-        expect(refusalAllowed(repeat, scope, before, inWindow), ProtocolRules.refusal(state, 0, nowMs),
+        expect(refusalAllowed(repeat, scope, before, inWindow), ProtocolRules.checkRefusal(state, 0, nowMs),
                 row + " refusal");
         for (Place place : Place.values()) {
             for (Role role : Role.values()) {
                 Target target = new Target(role, true, place.zone, place.cell);
                 boolean allowed = sendAllowed(repeat, scope, first, place, inWindow);
-                expect(allowed, ProtocolRules.send(state, target, COPIES_ALLOWED, nowMs),
+                expect(allowed, ProtocolRules.checkSend(state, target, COPIES_ALLOWED, nowMs),
                         row + " " + role + " " + place);
                 boolean alone = before.stream().noneMatch(Before::out);
-                expect(allowed && alone, ProtocolRules.send(state, target, ONE_AT_A_TIME, nowMs),
+                expect(allowed && alone, ProtocolRules.checkSend(state, target, ONE_AT_A_TIME, nowMs),
                         row + " one at a time " + role + " " + place);
             }
         }
--- a/src/test/java/maplerail/policy/StateLeaseTest.java
+++ b/src/test/java/maplerail/policy/StateLeaseTest.java
@@ -19,14 +19,14 @@
     @ParameterizedTest
     @EnumSource(names = {"SERVED", "READ", "ERROR", "FULL", "STATE_GONE"})
     void anAnswerBeginsTheTermAnew(Outcome answer) {
-        lease.attemptEnded(answer, START_MS + 300);
+        lease.onAttemptEnded(answer, START_MS + 300);
         assertThat(lease.expiresMs()).isEqualTo(START_MS + 300 + TERM_MS);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"TIMEOUT", "UNREACHABLE", "RESET", "CANCELLED", "NOT_SENT"})
     void whatThisSideSawOrDecidedDoesNot(Outcome outcome) {
-        lease.attemptEnded(outcome, START_MS + 300);
+        lease.onAttemptEnded(outcome, START_MS + 300);
         assertThat(lease.expiresMs()).isEqualTo(START_MS + TERM_MS);
     }
 
@@ -61,8 +61,8 @@
         if (depth == 0) return;
         for (Outcome outcome : EnumSet.allOf(Outcome.class)) {
             double endedMs = nowMs + 100;
-            StateLease next = new StateLease(TERM_MS, current.sinceMs());
-            next.attemptEnded(outcome, endedMs);
+            StateLease next = new StateLease(TERM_MS, current.termStartMs());
+            next.onAttemptEnded(outcome, endedMs);
             checkAllSequences(next, endedMs, StateLease.isAnswer(outcome) ? endedMs : lastAnswerMs, depth - 1);
         }
     }
--- a/src/test/java/maplerail/sim/CodecTest.java
+++ b/src/test/java/maplerail/sim/CodecTest.java
@@ -200,7 +200,7 @@
     @Test
     void settingsAreReadInTheLibrarysTerms() {
         Router.Settings settings = SettingsReader.read(1, SETTINGS).settings();
-        assertEquals(1, settings.overShareWorth());
+        assertEquals(1, settings.overSharePriorityFactor());
         assertEquals(new Router.Kind(Router.Role.WRITE, 2000), settings.kinds().get(1));
         assertEquals(5, settings.limits().maxAttempts());
         assertEquals(-1, SettingsReader.read(1, SETTINGS).memoryColumn());
