--- a/src/main/java/maplerail/cli/Gateway.java
+++ b/src/main/java/maplerail/cli/Gateway.java
@@ -93,7 +93,7 @@
         engines = new EngineClient(pool);
         Router.Settings settings = config.settings();
         Consumer<String> log = line -> LOG.info("{}", line);
-        Quotas quotas = new Quotas(Budgets.open(config.wire().maxOpen()), loop, log);
+        Quotas quotas = new Quotas(Budgets.withoutQuotas(config.wire().maxOpen()), loop, log);
         broker = new Broker(new Logic(settings), settings, quotas, loop, engines, log);
         double longestDeadlineMs = settings.classes().stream().mapToDouble(Router.RequestClass::deadlineMs).max()
                 .orElse(0);
@@ -118,7 +118,7 @@
 
     /** Requests of which anything is still remembered, at either front. */
     public int remembered() {
-        return broker.remembered() + (tools == null ? 0 : tools.remembered());
+        return broker.retainedRequests() + (tools == null ? 0 : tools.remembered());
     }
 
     /** Where it listens, once it does. */
@@ -159,7 +159,7 @@
         unconfirmed = known;
         boolean pushed = !config.settings().askForList();
         if (!known.members().isEmpty()) watch.from(known.version(), pushed);
-        if (pushed && !known.members().isEmpty()) loop.at(loop.nowMs() + CONFIRM_MS, this::useRememberedList);
+        if (pushed && !known.members().isEmpty()) loop.schedule(loop.nowMs() + CONFIRM_MS, this::useRememberedList);
         else useRememberedList();
     }
 
@@ -172,7 +172,7 @@
         EngineList known = unconfirmed;
         unconfirmed = null;
         engines.addresses(known.addresses());
-        broker.members(new Router.Members(Router.ListKind.REMEMBERED, known.version(), known.members()));
+        broker.updateEngines(new Router.Members(Router.ListKind.REMEMBERED, known.version(), known.members()));
         if (!known.members().isEmpty()) ready();
     }
 
@@ -200,13 +200,13 @@
     private void hear(EngineList list) {
         useRememberedList();
         engines.addresses(list.addresses());
-        broker.members(new Router.Members(list.whole() ? Router.ListKind.WHOLE : Router.ListKind.CHANGES,
+        broker.updateEngines(new Router.Members(list.whole() ? Router.ListKind.WHOLE : Router.ListKind.CHANGES,
                 list.version(), list.members()));
         ready();
     }
 
     private void ready() {
-        if (lifecycle.phase() == Phase.STARTING) lifecycle.move(Phase.READY);
+        if (lifecycle.phase() == Phase.STARTING) lifecycle.moveTo(Phase.READY);
     }
 
     /**
@@ -232,29 +232,29 @@
         loop.execute(() -> {
             Phase phase = lifecycle.phase();
             if (phase != Phase.STARTING && phase != Phase.READY) return;
-            lifecycle.move(Phase.DRAINING);
+            lifecycle.moveTo(Phase.DRAINING);
             LOG.info("draining: {} requests open", remembered());
-            loop.at(loop.nowMs() + ARRIVING_MS, this::finish);
+            loop.schedule(loop.nowMs() + ARRIVING_MS, this::finish);
         });
     }
 
     private void finish() {
-        if (lifecycle.phase() == Phase.DRAINING) lifecycle.move(Phase.FINISHING);
+        if (lifecycle.phase() == Phase.DRAINING) lifecycle.moveTo(Phase.FINISHING);
         listeners.get(0).closeIdle();
         if (listeners.get(0).busy() > 0 || remembered() > 0 || rpc != null && rpc.openRequests() > 0) {
-            loop.at(loop.nowMs() + LOOK_MS, this::finish);
+            loop.schedule(loop.nowMs() + LOOK_MS, this::finish);
             return;
         }
         // A gateway that is gone lets nothing go; whoever still sends is turned away meanwhile, as before.
         if (Double.isNaN(exitByMs)) exitByMs = loop.nowMs() + LAST_RELEASES_MS;
-        if (broker.unfinishedReleases() > 0 && loop.nowMs() < exitByMs) {
-            loop.at(loop.nowMs() + LOOK_MS, this::finish);
+        if (broker.pendingReleases() > 0 && loop.nowMs() < exitByMs) {
+            loop.schedule(loop.nowMs() + LOOK_MS, this::finish);
             return;
         }
         if (rpc != null) rpc.close();
-        lifecycle.move(Phase.STOPPED);
-        broker.counters().tell();
-        LOG.info("drained; releases not answered: {}", broker.unfinishedReleases());
+        lifecycle.moveTo(Phase.STOPPED);
+        broker.counters().logChanges();
+        LOG.info("drained; releases not answered: {}", broker.pendingReleases());
         stopped.countDown();
     }
 
--- a/src/main/java/maplerail/cli/ToolServices.java
+++ b/src/main/java/maplerail/cli/ToolServices.java
@@ -78,10 +78,10 @@
 
     private void hear(String service, EngineList list) {
         clients.get(service).addresses(list.addresses());
-        brokers.get(service).members(new Router.Members(Router.ListKind.WHOLE, list.version(), list.members()));
+        brokers.get(service).updateEngines(new Router.Members(Router.ListKind.WHOLE, list.version(), list.members()));
     }
 
     int remembered() {
-        return brokers.values().stream().mapToInt(Broker::remembered).sum();
+        return brokers.values().stream().mapToInt(Broker::retainedRequests).sum();
     }
 }
--- a/src/main/java/maplerail/core/ActiveRequest.java
+++ b/src/main/java/maplerail/core/ActiveRequest.java
@@ -37,7 +37,7 @@
     final Set<Long> repeating = new LinkedHashSet<>();
     /** The attempt whose events the caller gets. */
     Attempt winner;
-    Loop.Alarm guard;
+    Loop.ScheduledTask guard;
 
     ActiveRequest(long number, ServiceRequest request, Caller caller, double deadlineMs) {
         this.number = number;
@@ -98,8 +98,8 @@
         final ProtocolRules.Target target;
         final boolean reader;
         final double sentMs;
-        Engines.Sending sending;
-        Loop.Alarm timeout;
+        EngineTransport.AttemptHandle sending;
+        Loop.ScheduledTask timeout;
         /** When the last event came, and whether its caller asked for a pause. */
         double heardMs;
         boolean paused;
--- a/src/main/java/maplerail/core/AttemptRunner.java
+++ b/src/main/java/maplerail/core/AttemptRunner.java
@@ -17,7 +17,7 @@
     private static final double LINGER_MS = 8_000;
     private static final Router.Load UNTOLD = new Router.Load(Double.NaN);
 
-    private final Engines engines;
+    private final EngineTransport engines;
     private final Loop loop;
     private final Fleet fleet;
     private final RequestRegistry registry;
@@ -33,7 +33,7 @@
     private DecisionLoop decisions;
     private Consumer<ActiveRequest> gone;
 
-    AttemptRunner(Engines engines, Loop loop, Fleet fleet, RequestRegistry registry, HeldStates held, Relay relay,
+    AttemptRunner(EngineTransport engines, Loop loop, Fleet fleet, RequestRegistry registry, HeldStates held, Relay relay,
             Router.Settings settings, RuleMonitor monitor, ServiceCounters counters, FailureLog failureLog,
             Consumer<String> log) {
         this.engines = engines;
@@ -71,17 +71,17 @@
             return;
         }
         repeats.tell(attempt);
-        attempt.timeout = loop.at(until, () -> cut(attempt, Outcome.TIMEOUT));
+        attempt.timeout = loop.schedule(until, () -> cut(attempt, Outcome.TIMEOUT));
         attempt.sending = engines.send(order.engine(), active.request, until,
                 () -> mayBegin(attempt, order.startByMs()),
-                new Engines.Answer() {
+                new EngineTransport.AnswerListener() {
                     @Override
                     public void event(byte[] event) {
                         if (!attempt.ended) heard(attempt, event);
                     }
 
                     @Override
-                    public void unfit() {
+                    public void rejected() {
                         if (!attempt.ended) reject(attempt);
                     }
 
@@ -90,12 +90,12 @@
                         AttemptRunner.this.ended(attempt, outcome, kept);
                     }
                 });
-        if (order.startByMs() < until) loop.at(order.startByMs(), () -> withdraw(attempt));
+        if (order.startByMs() < until) loop.schedule(order.startByMs(), () -> withdraw(attempt));
     }
 
     /** Whether an attempt may go out now, by what has really happened; looks whether its client is still there. */
     private Reason verdict(ActiveRequest active, long engine) {
-        if (!active.answered && active.caller.hasLeft()) gone.accept(active);
+        if (!active.answered && active.caller.hasDisconnected()) gone.accept(active);
         return ProtocolRules.send(active.state(settings.classes()), fleet.target(engine), settings.limits(),
                 loop.nowMs());
     }
@@ -107,7 +107,7 @@
      */
     private boolean mayBegin(ActiveRequest.Attempt attempt, double startByMs) {
         ActiveRequest active = attempt.active;
-        if (!active.answered && active.caller.hasLeft()) gone.accept(active);
+        if (!active.answered && active.caller.hasDisconnected()) gone.accept(active);
         if (attempt.ended) return false;
         Reason verdict = ProtocolRules.begin(active.state(settings.classes()), fleet.target(attempt.engine),
                 loop.nowMs());
@@ -160,7 +160,7 @@
      * runs any more, and the client would wait for good instead of asking for the rest elsewhere.
      */
     private void watch(ActiveRequest.Attempt attempt, double afterMs) {
-        attempt.timeout = loop.at(loop.nowMs() + afterMs, () -> {
+        attempt.timeout = loop.schedule(loop.nowMs() + afterMs, () -> {
             double quietMs = attempt.paused ? 0 : loop.nowMs() - attempt.heardMs;
             if (quietMs >= STALL_MS) cut(attempt, Outcome.RESET);
             else if (!attempt.ended) watch(attempt, STALL_MS - quietMs);
@@ -211,7 +211,7 @@
         }
         attempt.timeout.cancel();
         double untilMs = loop.nowMs() + LINGER_MS;
-        attempt.timeout = loop.at(untilMs, () -> cut(attempt, Outcome.CANCELLED));
+        attempt.timeout = loop.schedule(untilMs, () -> cut(attempt, Outcome.CANCELLED));
         held.releaseWhileOut(active, untilMs, () -> cut(attempt, Outcome.CANCELLED));
     }
 
--- a/src/main/java/maplerail/core/Broker.java
+++ b/src/main/java/maplerail/core/Broker.java
@@ -31,7 +31,7 @@
     private final RuleMonitor monitor;
 
     /** Makes a broker round a module that has just come up with these settings. */
-    public Broker(Router router, Router.Settings settings, Quotas quotas, Loop loop, Engines engines,
+    public Broker(Router router, Router.Settings settings, Quotas quotas, Loop loop, EngineTransport engines,
             Consumer<String> log) {
         this.loop = loop;
         this.log = log;
@@ -52,7 +52,7 @@
     }
 
     /** Takes a request; its caller gets its one final answer in any case. */
-    public RequestHandle take(ServiceRequest request, Caller caller) {
+    public RequestHandle submit(ServiceRequest request, Caller caller) {
         ActiveRequest active = admission.take(request, caller);
         if (active == null) {
             caller.fail(Why.DUPLICATE);
@@ -68,7 +68,7 @@
             return new Closed();
         }
         active.admitted = true;
-        active.guard = loop.at(active.deadlineMs + GUARD_MS, () -> overdue(active));
+        active.guard = loop.schedule(active.deadlineMs + GUARD_MS, () -> overdue(active));
         decisions.tell(new Router.Arrival(active.number, request.kind(), request.tenant(), request.session(),
                 request.promptTokens(),
                 request.prefix(), request.prefixTokens(), Math.max(0, active.deadlineMs - loop.nowMs()),
@@ -78,7 +78,7 @@
     }
 
     /** News of the engines; what has not gone out yet obeys it too. */
-    public void members(Router.Members news) {
+    public void updateEngines(Router.Members news) {
         fleet.hear(news);
         tellChanges(news);
         decisions.tell(news);
@@ -105,12 +105,12 @@
     }
 
     /** Requests of which anything is still remembered. */
-    public int remembered() {
+    public int retainedRequests() {
         return registry.size();
     }
 
     /** Releases that have not been answered or are still to be sent, of requests that may be over. */
-    public int unfinishedReleases() {
+    public int pendingReleases() {
         return held.unfinished();
     }
 
@@ -122,7 +122,7 @@
         else if (action instanceof Router.Refuse refuse) refuse(refuse);
         else if (action instanceof Router.Fail fail) fail(fail.id(), Why.ENGINE, fail.why());
         else if (action instanceof Router.SetTimer timer) {
-            loop.at(timer.atMs(), () -> decisions.tell(new Router.Timer(timer.token())));
+            loop.schedule(timer.atMs(), () -> decisions.tell(new Router.Timer(timer.token())));
         } else if (action instanceof Router.Log line) log.accept(line.text());
         // Subscribe and FetchList need nothing: the list is always watched.
     }
@@ -186,7 +186,7 @@
     /** A request that was never open, or no longer is. */
     private static final class Closed implements RequestHandle {
         @Override
-        public void gone() {}
+        public void cancel() {}
 
         @Override
         public void writable() {}
@@ -200,7 +200,7 @@
         }
 
         @Override
-        public void gone() {
+        public void cancel() {
             Broker.this.gone(active);
         }
 
--- a/src/main/java/maplerail/core/Budgets.java
+++ b/src/main/java/maplerail/core/Budgets.java
@@ -5,7 +5,7 @@
 /** What callers may ask for: how many requests at once in all, and a contract for each class and team. */
 public record Budgets(int maxOpen, List<Contract> contracts, List<Budget> teams) {
     /** No contracts and no budgets beyond a number of open requests. */
-    public static Budgets open(int maxOpen) {
+    public static Budgets withoutQuotas(int maxOpen) {
         return new Budgets(maxOpen, List.of(), List.of());
     }
 
--- a/src/main/java/maplerail/core/Caller.java
+++ b/src/main/java/maplerail/core/Caller.java
@@ -6,7 +6,7 @@
     enum Why { INVALID, DUPLICATE, BUDGET, OVERLOAD, ENGINE, DEADLINE }
 
     /** True if the caller has left; looks for it now, as its leaving may wait unread while the loop is busy. */
-    default boolean hasLeft() {
+    default boolean hasDisconnected() {
         return false;
     }
 
--- a/src/main/java/maplerail/core/Engines.java
+++ b/src/main/java/maplerail/core/EngineTransport.java
@@ -5,12 +5,12 @@
 import maplerail.Router;
 
 /** The port through which attempts go out. It must never make an attempt twice on its own. */
-public interface Engines {
+public interface EngineTransport {
     /**
      * Makes one attempt. The answer hears exactly one {@code ended}, never before this call returns. An attempt that
      * had to wait for its connection asks whether it may still begin right before its first byte is written.
      */
-    Sending send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin, Answer answer);
+    AttemptHandle send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin, AnswerListener answer);
 
     /** Lets go of what an engine holds for a request, trying again up to a time; tells once how that ended. */
     void release(long engine, String id, double untilMs, Consumer<ReleaseResult> ended);
@@ -19,7 +19,7 @@
     record ReleaseResult(boolean answered, int tries, double tookMs) {}
 
     /** An attempt on its way. */
-    interface Sending {
+    interface AttemptHandle {
         /** How far it has come, for the log. */
         default String trace() {
             return "";
@@ -44,12 +44,12 @@
     }
 
     /** What comes back. */
-    interface Answer {
+    interface AnswerListener {
         /** A piece of a streaming answer. */
         void event(byte[] event);
 
         /** The end: the engine says that the request itself is wrong. Another would say so too. */
-        void unfit();
+        void rejected();
 
         /** The end; {@code kept} is the part of the prompt that needed no reading, NaN if it is not told. */
         void ended(Router.Outcome outcome, double kept);
--- a/src/main/java/maplerail/core/HeldStates.java
+++ b/src/main/java/maplerail/core/HeldStates.java
@@ -40,7 +40,7 @@
     private static final double RETRY_TERMS = 4;
     private static final double LATE_MS = 100; // after which an answer to a release is worth a line
 
-    private final Engines engines;
+    private final EngineTransport engines;
     private final Loop loop;
     private final double termMs;
     private final RuleMonitor monitor;
@@ -50,7 +50,7 @@
     private int releasesUnderWay;
     private int repeatsToCome;
 
-    HeldStates(Engines engines, Loop loop, double termMs, RuleMonitor monitor, ServiceCounters counters,
+    HeldStates(EngineTransport engines, Loop loop, double termMs, RuleMonitor monitor, ServiceCounters counters,
             Consumer<String> log) {
         this.engines = engines;
         this.loop = loop;
@@ -63,10 +63,10 @@
 
     /** A reader says that it holds a state. Its answer may have lain unread: the lease begins when it can have come. */
     void granted(ActiveRequest active, long engine) {
-        StateLease lease = new StateLease(termMs, loop.inputSinceMs());
+        StateLease lease = new StateLease(termMs, loop.inputArrivedAfterMs());
         active.holds.put(engine, lease);
         active.mayHold.add(engine);
-        loop.at(lease.expiresMs(), () -> expired(active, engine, lease));
+        loop.schedule(lease.expiresMs(), () -> expired(active, engine, lease));
     }
 
     /**
@@ -83,7 +83,7 @@
 
     /** An attempt has ended: an answer of its engine proves that it was out until now. */
     void attemptEnded(ActiveRequest active, Router.Outcome outcome) {
-        active.holds.values().forEach(lease -> lease.attemptEnded(outcome, loop.inputSinceMs()));
+        active.holds.values().forEach(lease -> lease.attemptEnded(outcome, loop.inputArrivedAfterMs()));
         if (active.anyOut()) return;
         // An engine keeps what a write waits for that has arrived after all: its time begins with the end of that.
         if (outcome != Router.Outcome.STATE_GONE) active.reclaimed.forEach(engine -> granted(active, engine));
@@ -100,9 +100,9 @@
     private void expired(ActiveRequest active, long engine, StateLease lease) {
         if (active.holds.get(engine) != lease) return;
         if (loop.nowMs() < lease.expiresMs()) {
-            loop.at(lease.expiresMs(), () -> expired(active, engine, lease));
+            loop.schedule(lease.expiresMs(), () -> expired(active, engine, lease));
         } else if (active.answerBegun()) {
-            loop.at(loop.nowMs() + termMs, () -> expired(active, engine, lease));
+            loop.schedule(loop.nowMs() + termMs, () -> expired(active, engine, lease));
         } else {
             letGo(active, engine, Reason.LEASE_EXPIRED);
         }
@@ -171,7 +171,7 @@
         });
     }
 
-    private void ended(String id, long engine, Engines.ReleaseResult result) {
+    private void ended(String id, long engine, EngineTransport.ReleaseResult result) {
         boolean late = result.tookMs() > LATE_MS;
         Release how = late ? Release.ANSWERED_LATE : Release.ANSWERED;
         counters.count(result.answered() ? how : Release.NEVER_ANSWERED);
@@ -197,7 +197,7 @@
             repeatsToCome--;
             return;
         }
-        loop.at(atMs, () -> {
+        loop.schedule(atMs, () -> {
             // A release lets go of all that is held for the request, also of what another reader has for it.
             boolean inUse = !active.answered && (active.anyOut() || !active.holds.isEmpty());
             if (!inUse) {
--- a/src/main/java/maplerail/core/Lifecycle.java
+++ b/src/main/java/maplerail/core/Lifecycle.java
@@ -13,12 +13,12 @@
         STARTING, READY, DRAINING, FINISHING, STOPPED;
 
         /** True once clients are to go elsewhere. */
-        public boolean ends() {
+        public boolean isShuttingDown() {
             return compareTo(READY) > 0;
         }
 
         /** True while a request that arrives is still served. */
-        public boolean takes() {
+        public boolean acceptsRequests() {
             return compareTo(FINISHING) < 0;
         }
     }
@@ -39,12 +39,12 @@
     }
 
     /** Tells each later move. */
-    public synchronized void listen(Consumer<Phase> listener) {
+    public synchronized void addListener(Consumer<Phase> listener) {
         listeners.add(listener);
     }
 
     /** Moves on; an illegal move is a fault of the program. */
-    public void move(Phase to) {
+    public void moveTo(Phase to) {
         List<Consumer<Phase>> heard;
         synchronized (this) {
             if (!LEGAL.get(phase).contains(to)) throw new IllegalStateException("no way from " + phase + " to " + to);
--- a/src/main/java/maplerail/core/Loop.java
+++ b/src/main/java/maplerail/core/Loop.java
@@ -6,22 +6,22 @@
     double nowMs();
 
     /** Runs a task at a time, not before it; the task can be called off. */
-    Alarm at(double whenMs, Runnable task);
+    ScheduledTask schedule(double whenMs, Runnable task);
 
     /** Runs a task once what has arrived by now has been read. */
-    Alarm afterInput(Runnable task);
+    ScheduledTask runAfterInput(Runnable task);
 
     /**
      * What is read now, of connections that are being read, had not arrived by this time: all that had has been handed
      * on. On a loop that is in time this is a little before {@link #nowMs}; on one that is behind, long before.
      */
-    double inputSinceMs();
+    double inputArrivedAfterMs();
 
     /** The same for connections that come in now. */
-    double connectionsSinceMs();
+    double connectionsArrivedAfterMs();
 
     /** A task that waits for its time. */
-    interface Alarm {
+    interface ScheduledTask {
         /** Calls the task off; does nothing once it has run. */
         void cancel();
     }
--- a/src/main/java/maplerail/core/Quotas.java
+++ b/src/main/java/maplerail/core/Quotas.java
@@ -66,7 +66,7 @@
         if (late >= BEHIND_MS) log.accept("event loop behind by " + Math.round(late) + " ms; requests open: " + open);
         looking = open > 0;
         double due = loop.nowMs() + LOOK_MS;
-        if (looking) loop.at(due, () -> look(loop.nowMs() - due));
+        if (looking) loop.schedule(due, () -> look(loop.nowMs() - due));
         else behindMs = 0;
     }
 
--- a/src/main/java/maplerail/core/RequestHandle.java
+++ b/src/main/java/maplerail/core/RequestHandle.java
@@ -3,7 +3,7 @@
 /** What a front holds while its request is open. */
 public interface RequestHandle {
     /** The caller has left. */
-    void gone();
+    void cancel();
 
     /** The caller can take more. */
     void writable();
--- a/src/main/java/maplerail/core/ServiceCounters.java
+++ b/src/main/java/maplerail/core/ServiceCounters.java
@@ -30,16 +30,16 @@
     public void count(Enum<?> what) {
         counts.merge(what, 1L, Long::sum);
         changed = true;
-        if (loop.nowMs() - toldMs >= TELL_MS) tell();
+        if (loop.nowMs() - toldMs >= TELL_MS) logChanges();
     }
 
     /** How often it happened. */
-    public long of(Enum<?> what) {
+    public long get(Enum<?> what) {
         return counts.getOrDefault(what, 0L);
     }
 
     /** Logs all counts, unless none has changed since the last time. */
-    public void tell() {
+    public void logChanges() {
         toldMs = loop.nowMs();
         if (!changed) return;
         changed = false;
--- a/src/main/java/maplerail/discovery/BlockingQuery.java
+++ b/src/main/java/maplerail/discovery/BlockingQuery.java
@@ -54,7 +54,7 @@
     }
 
     private void lookAfter(double afterMs, QueryCall asked, Call call) {
-        loop.at(loop.nowMs() + afterMs, () -> {
+        loop.schedule(loop.nowMs() + afterMs, () -> {
             if (asked.expire(call)) lookAfter(GRACE_MS, asked, call);
         });
     }
@@ -99,7 +99,7 @@
         }
 
         private void later(double afterMs) {
-            loop.at(loop.nowMs() + afterMs, () -> {
+            loop.schedule(loop.nowMs() + afterMs, () -> {
                 if (asked.equals(at)) ask(); // else the other address has its own call out
             });
         }
--- a/src/main/java/maplerail/discovery/PlatformWatch.java
+++ b/src/main/java/maplerail/discovery/PlatformWatch.java
@@ -98,11 +98,11 @@
         void start(ClientRequest request) {
             Call call = pool.start(at, request, new byte[0], this);
             // Guards against an agent that was cut off: its connection would stay open and silent.
-            loop.at(loop.nowMs() + waitMs() + GRACE_MS, () -> look(call));
+            loop.schedule(loop.nowMs() + waitMs() + GRACE_MS, () -> look(call));
         }
 
         private void look(Call call) {
-            if (expire(call)) loop.at(loop.nowMs() + SILENT_MS, () -> look(call));
+            if (expire(call)) loop.schedule(loop.nowMs() + SILENT_MS, () -> look(call));
         }
 
         @Override
@@ -143,7 +143,7 @@
         protected void none() {
             if (!asked.equals(at)) return; // the other address has its own call out
             double now = loop.nowMs();
-            loop.at(refused ? backOff.againMs(askedMs, now) : now + BackOff.LEAST_MS, () -> {
+            loop.schedule(refused ? backOff.againMs(askedMs, now) : now + BackOff.LEAST_MS, () -> {
                 if (asked.equals(at)) ask();
             });
         }
--- a/src/main/java/maplerail/front/AcceptBackOff.java
+++ b/src/main/java/maplerail/front/AcceptBackOff.java
@@ -68,7 +68,7 @@
     }
 
     private void look() {
-        loop.at(loop.nowMs() + LOOK_MS, this::look);
+        loop.schedule(loop.nowMs() + LOOK_MS, this::look);
         try {
             if (pausing.getBoolean(handle)) {
                 if (!told) LOG.warn("accept fails on this machine; trying again every {} ms", LOOK_MS);
--- a/src/main/java/maplerail/front/ArrivalConduit.java
+++ b/src/main/java/maplerail/front/ArrivalConduit.java
@@ -46,7 +46,7 @@
     }
 
     private void came(long count, double beforeMs) {
-        double sinceMs = loop.inputSinceMs();
+        double sinceMs = loop.inputArrivedAfterMs();
         if (resumedMs <= sinceMs) emptyMs = Math.max(emptyMs, sinceMs);
         if (count == 0) emptyMs = beforeMs;
         if (count <= 0) return;
--- a/src/main/java/maplerail/front/ClientListener.java
+++ b/src/main/java/maplerail/front/ClientListener.java
@@ -94,7 +94,7 @@
     /** A connection that comes in now had not been made by this time. */
     private double connectedSinceMs() {
         double now = loop.nowMs();
-        double sinceMs = burst.notBeforeMs(now, loop.connectionsSinceMs());
+        double sinceMs = burst.notBeforeMs(now, loop.connectionsArrivedAfterMs());
         return now - acceptFailedMs < BACKLOG_MS ? Math.min(sinceMs, acceptFailingSinceMs) : sinceMs;
     }
 
@@ -120,7 +120,7 @@
         StreamSourceConduit source = connection.getSourceChannel().getConduit();
         connection.getSourceChannel().setConduit(
                 new ArrivalConduit(source, loop, client.arrivals, connectedSinceMs(), () -> came(client)));
-        if (!looking) loop.at(loop.nowMs() + LOOK_MS, this::look);
+        if (!looking) loop.schedule(loop.nowMs() + LOOK_MS, this::look);
         looking = true;
         next.handleEvent(connection);
     }
@@ -228,7 +228,7 @@
         ended.forEach(this::turnOutUnlessHeard);
         makeRoom(now);
         looking = !tracked.isEmpty();
-        if (looking) loop.at(now + LOOK_MS, this::look);
+        if (looking) loop.schedule(now + LOOK_MS, this::look);
     }
 
     /**
@@ -252,7 +252,7 @@
     }
 
     private void turnOutAfterInput(StreamConnection connection, Closed why, BooleanSupplier unchanged) {
-        loop.afterInput(() -> {
+        loop.runAfterInput(() -> {
             if (!tracked.containsKey(connection)) return;
             boolean ends = unchanged.getAsBoolean();
             counters.count(ends ? why : Closed.HEARD_IN_TIME);
--- a/src/main/java/maplerail/front/RequestTurns.java
+++ b/src/main/java/maplerail/front/RequestTurns.java
@@ -41,7 +41,7 @@
     private void awaitNextTurn() {
         if (turning) return;
         turning = true;
-        loop.afterInput(this::nextTurn);
+        loop.runAfterInput(this::nextTurn);
     }
 
     private void nextTurn() {
--- a/src/main/java/maplerail/front/jsonrpc/Answers.java
+++ b/src/main/java/maplerail/front/jsonrpc/Answers.java
@@ -55,7 +55,7 @@
         ServiceRequest request = new ServiceRequest(id, place, tenant, EngineIds.key(key), prompt, 0, 0, deadlineMs,
                 most, 0, false, body.length,
                 new HttpPayload(io.undertow.util.Methods.POST, "/v1/chat/completions", headers, body));
-        return broker.take(request, new AnswerCaller(pending));
+        return broker.submit(request, new AnswerCaller(pending));
     }
 
     private static double figure(Tree number, double most) {
--- a/src/main/java/maplerail/front/jsonrpc/RpcFront.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcFront.java
@@ -122,7 +122,7 @@
 
     @Override
     public boolean open() {
-        return lifecycle.phase().takes() && lifecycle.phase() != Phase.STARTING;
+        return lifecycle.phase().acceptsRequests() && lifecycle.phase() != Phase.STARTING;
     }
 
     /** Requests that wait for their final answer. */
--- a/src/main/java/maplerail/front/jsonrpc/Session.java
+++ b/src/main/java/maplerail/front/jsonrpc/Session.java
@@ -84,7 +84,7 @@
         Pending pending = id == null ? null : open.get(id);
         if (pending == null) return;
         pending.finish(RpcError.CANCELLED.failed(id, "cancelled"));
-        if (pending.handle != null) pending.handle.gone();
+        if (pending.handle != null) pending.handle.cancel();
     }
 
     /** The client has left: nobody waits for anything here. */
@@ -93,7 +93,7 @@
         closed = true;
         for (Pending pending : List.copyOf(open.values())) {
             pending.over = true;
-            if (pending.handle != null) pending.handle.gone();
+            if (pending.handle != null) pending.handle.cancel();
         }
         open.clear();
     }
--- a/src/main/java/maplerail/front/jsonrpc/Tools.java
+++ b/src/main/java/maplerail/front/jsonrpc/Tools.java
@@ -44,7 +44,7 @@
                 contract.deadlineMs(),
                 contract.mostReply() / TOKEN_BYTES, 0, false, size,
                 new ToolPayload(config.services().get(tool.service()).path(), body, contract.mostReply()));
-        return services.get(tool.service()).take(request, new ToolCaller(pending));
+        return services.get(tool.service()).submit(request, new ToolCaller(pending));
     }
 
     String list() {
--- a/src/main/java/maplerail/front/platform/Answer.java
+++ b/src/main/java/maplerail/front/platform/Answer.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public boolean hasLeft() {
+    public boolean hasDisconnected() {
         boolean watched = !over && exchange.getConnection() instanceof HttpServerConnection;
         if (watched) {
             HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
@@ -109,7 +109,7 @@
         finish();
         counters.count(how);
         IoUtils.safeClose(exchange.getConnection());
-        if (handle != null) handle.gone();
+        if (handle != null) handle.cancel();
     }
 
     @Override
--- a/src/main/java/maplerail/front/platform/PlatformFront.java
+++ b/src/main/java/maplerail/front/platform/PlatformFront.java
@@ -62,7 +62,7 @@
     private void handle(HttpServerExchange exchange) {
         listener.turnCame(exchange);
         ServerConnection connection = exchange.getConnection();
-        if (lifecycle.phase().ends()) exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
+        if (lifecycle.phase().isShuttingDown()) exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
         Answer answer = new Answer(exchange, early, broker.counters());
         if (exchange.getRequestURI().equals("/-/ready")) {
             answer.say(lifecycle.phase() == Phase.READY ? 200 : 503, "");
@@ -109,7 +109,7 @@
         }
         // Guards against clients that go on using a connection which a long stream kept open: what is taken now may
         // outlast the time that is left to end it, and a repeat is served by another gateway.
-        Reason verdict = ProtocolRules.start(!lifecycle.phase().takes());
+        Reason verdict = ProtocolRules.start(!lifecycle.phase().acceptsRequests());
         if (verdict != Reason.ALLOWED) {
             broker.counters().count(verdict);
             answer.refuse(Caller.Why.OVERLOAD, 0);
@@ -117,6 +117,6 @@
         }
         // Whoever sent a request and left again must not be served before anybody looks.
         answer.watch();
-        if (!answer.over()) answer.hold(broker.take(request, answer));
+        if (!answer.over()) answer.hold(broker.submit(request, answer));
     }
 }
--- a/src/main/java/maplerail/net/Call.java
+++ b/src/main/java/maplerail/net/Call.java
@@ -30,7 +30,7 @@
     private ByteBuffer bytes;
     private Link link;
     private Runnable disconnect;
-    private Loop.Alarm limit;
+    private Loop.ScheduledTask limit;
     private boolean needsNewConnection;
     private boolean waited;
     private boolean reused;
@@ -126,7 +126,7 @@
     }
 
     /** While it has no connection: when to give up waiting for one, and how. */
-    void connecting(Loop.Alarm alarm, Runnable cancel) {
+    void connecting(Loop.ScheduledTask alarm, Runnable cancel) {
         calm();
         waited = true;
         limit = alarm;
@@ -238,7 +238,7 @@
         if (!reader.inHead()) return;
         // What has come by then is read first.
         XnioLoop loop = pool.loop();
-        limit = loop.at(receivedMs + HEAD_SILENCE_MS, () -> limit = loop.afterInput(this::fail));
+        limit = loop.schedule(receivedMs + HEAD_SILENCE_MS, () -> limit = loop.runAfterInput(this::fail));
     }
 
     private void calm() {
--- a/src/main/java/maplerail/net/CallSending.java
+++ b/src/main/java/maplerail/net/CallSending.java
@@ -1,9 +1,9 @@
 package maplerail.net;
 
-import maplerail.core.Engines;
+import maplerail.core.EngineTransport;
 
 /** A {@link Call} as the core sees it. */
-record CallSending(Call call) implements Engines.Sending {
+record CallSending(Call call) implements EngineTransport.AttemptHandle {
     @Override
     public String trace() {
         return call.trace();
--- a/src/main/java/maplerail/net/EngineClient.java
+++ b/src/main/java/maplerail/net/EngineClient.java
@@ -17,10 +17,10 @@
 import maplerail.config.ConfigException;
 import maplerail.config.Tree;
 import maplerail.core.ServiceRequest;
-import maplerail.core.Engines;
+import maplerail.core.EngineTransport;
 
 /** Attempts and releases on the platform's wire. */
-public final class EngineClient implements Engines {
+public final class EngineClient implements EngineTransport {
     private static final HttpString DEADLINE = new HttpString("Req-Deadline");
     private static final int MOST_READ = 64 * 1024; // of an answer that is no stream
     private static final double READ_BODY_MS = 100; // after the head of a reader's answer, which comes with its body
@@ -41,8 +41,8 @@
     }
 
     @Override
-    public Sending send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
-            Answer answer) {
+    public AttemptHandle send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
+            AnswerListener answer) {
         HttpPayload payload = (HttpPayload) request.payload();
         InetSocketAddress to = addresses.get(engine);
         Incoming incoming = new Incoming(answer);
@@ -64,7 +64,7 @@
 
     /** An engine's answer, told as an outcome. */
     private final class Incoming implements Reply {
-        private final Answer answer;
+        private final AnswerListener answer;
         private Call call;
         private boolean over;
         private final EventSplitter events = new EventSplitter();
@@ -73,7 +73,7 @@
         private boolean framed;
         private boolean unfit;
 
-        Incoming(Answer answer) {
+        Incoming(AnswerListener answer) {
             this.answer = answer;
         }
 
@@ -84,7 +84,7 @@
             // Without framing the end of the connection is no sign of a whole answer.
             framed = headers.contains(Headers.TRANSFER_ENCODING) || headers.contains(Headers.CONTENT_LENGTH);
             if (meaning == Outcome.READ)
-                loop.at(loop.nowMs() + READ_BODY_MS, () -> loop.afterInput(this::endWithoutBody));
+                loop.schedule(loop.nowMs() + READ_BODY_MS, () -> loop.runAfterInput(this::endWithoutBody));
         }
 
         /** Its head says that a state is held, and the time of that runs; the body only tells what was kept. */
@@ -112,7 +112,7 @@
         public void end() {
             over = true;
             if (unfit) {
-                answer.unfit();
+                answer.rejected();
                 return;
             }
             if (meaning == Outcome.SERVED && framed && events.rest().length > 0) answer.event(events.rest());
--- a/src/main/java/maplerail/net/Pool.java
+++ b/src/main/java/maplerail/net/Pool.java
@@ -97,7 +97,7 @@
     }
 
     private Call start(InetSocketAddress to, Call call) {
-        if (call.urgent() || loop.nowMs() - loop.inputSinceMs() < UNREAD_MS) beginOrQueue(to, call);
+        if (call.urgent() || loop.nowMs() - loop.inputArrivedAfterMs() < UNREAD_MS) beginOrQueue(to, call);
         else beginAfterInput(to, call);
         return call;
     }
@@ -108,7 +108,7 @@
      */
     private void beginAfterInput(InetSocketAddress to, Call call) {
         call.hasToAsk();
-        loop.afterInput(() -> {
+        loop.runAfterInput(() -> {
             if (!call.done()) beginOrQueue(to, call);
         });
     }
@@ -119,7 +119,7 @@
             // Guards against a release that waits behind a crowd of reads until what it lets go counts as pinned.
             if (call.urgent()) waiting.addFirst(call);
             else waiting.addLast(call);
-            call.connecting(loop.at(call.connectUntilMs(loop.nowMs() + connectMs), () -> later(call)), () -> {});
+            call.connecting(loop.schedule(call.connectUntilMs(loop.nowMs() + connectMs), () -> later(call)), () -> {});
             if (faultPause()) call.faultedHere();
         }
     }
@@ -155,7 +155,7 @@
 
     /** Guards against a loop that is behind: what has come up by now is seen first. */
     private void later(Call call) {
-        loop.afterInput(call::failUnconnected);
+        loop.runAfterInput(call::failUnconnected);
     }
 
     /** The last one used that has been quiet since; a second answer right behind the first must not meet a request. */
@@ -191,7 +191,7 @@
         connectingInAll++;
         IoFuture<StreamConnection> coming = connector.connect(to);
         // Called off, it is closed: one that never comes up would hold a descriptor for minutes.
-        call.connecting(loop.at(call.connectUntilMs(loop.nowMs() + connectMs), () -> later(call)), coming::cancel);
+        call.connecting(loop.schedule(call.connectUntilMs(loop.nowMs() + connectMs), () -> later(call)), coming::cancel);
         coming.addNotifier((future, none) -> loop.execute(() -> connected(to, call, future)), null);
     }
 
@@ -235,7 +235,7 @@
         }
         call.faultedHere();
         queued.computeIfAbsent(to, t -> new ArrayDeque<>()).addFirst(call);
-        if (!faultPause()) loop.at(now + FAULT_PAUSE_MS, this::nextEverywhere);
+        if (!faultPause()) loop.schedule(now + FAULT_PAUSE_MS, this::nextEverywhere);
         faultPauseUntilMs = now + FAULT_PAUSE_MS;
     }
 
@@ -245,15 +245,15 @@
     }
 
     private void nextEverywhere() {
-        if (faultPause()) loop.at(faultPauseUntilMs, this::nextEverywhere);
+        if (faultPause()) loop.schedule(faultPauseUntilMs, this::nextEverywhere);
         else List.copyOf(queued.keySet()).forEach(this::next);
     }
 
     void keep(Link link) {
         link.idle(loop.nowMs());
         idle.computeIfAbsent(link.to, t -> new ArrayDeque<>()).addLast(link);
-        if (queued.containsKey(link.to)) loop.at(loop.nowMs() + SETTLE_MS, () -> next(link.to));
-        if (!sweeping) loop.at(loop.nowMs() + SWEEP_MS, this::sweep);
+        if (queued.containsKey(link.to)) loop.schedule(loop.nowMs() + SETTLE_MS, () -> next(link.to));
+        if (!sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
         sweeping = true;
     }
 
@@ -269,7 +269,7 @@
         idle.values().removeIf(ArrayDeque::isEmpty);
         nextEverywhere();
         sweeping = !idle.isEmpty();
-        if (sweeping) loop.at(loop.nowMs() + SWEEP_MS, this::sweep);
+        if (sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
     }
 
     /** Connections that are open or on their way. */
--- a/src/main/java/maplerail/net/ReleaseCall.java
+++ b/src/main/java/maplerail/net/ReleaseCall.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Consumer;
-import maplerail.core.Engines.ReleaseResult;
+import maplerail.core.EngineTransport.ReleaseResult;
 import maplerail.core.Loop;
 
 /**
@@ -31,7 +31,7 @@
     private final double startMs;
     /** Oldest first. */
     private final Set<Call> out = new LinkedHashSet<>();
-    private Loop.Alarm next;
+    private Loop.ScheduledTask next;
     private double hedgeMs = FIRST_HEDGE_MS;
     private int tries;
     private boolean done;
@@ -60,7 +60,7 @@
         // The oldest has had its time: a connection that fell silent, as in a cut that is over by now, stays so.
         if (out.size() >= MOST_OUT) giveUpOldest();
         send();
-        next = loop.at(loop.nowMs() + hedgeMs, this::attempt);
+        next = loop.schedule(loop.nowMs() + hedgeMs, this::attempt);
         hedgeMs *= HEDGE_GROWTH;
     }
 
@@ -83,7 +83,7 @@
         out.remove(call);
         if (done || !out.isEmpty()) return;
         next.cancel();
-        next = loop.at(loop.nowMs() + AGAIN_MS, this::attempt);
+        next = loop.schedule(loop.nowMs() + AGAIN_MS, this::attempt);
     }
 
     /** An answer has begun: it stays to be read to its end, so that its connection can be kept. */
--- a/src/main/java/maplerail/net/ToolClient.java
+++ b/src/main/java/maplerail/net/ToolClient.java
@@ -16,10 +16,10 @@
 import java.util.function.Consumer;
 import maplerail.Router.Outcome;
 import maplerail.core.ServiceRequest;
-import maplerail.core.Engines;
+import maplerail.core.EngineTransport;
 
 /** Attempts at tool servers: one HTTP POST each, whose reply counts when it is whole. */
-public final class ToolClient implements Engines {
+public final class ToolClient implements EngineTransport {
     /** What a reply that its contract does not allow is answered with: the call has run. */
     public static final String TOO_LARGE = "{\"error\":{\"code\":-32004,\"message\":\"the reply is larger than its"
             + " contract allows\",\"data\":{\"outcome\":\"failed\",\"mayHaveRun\":true}}}";
@@ -42,8 +42,8 @@
     }
 
     @Override
-    public Sending send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
-            Answer answer) {
+    public AttemptHandle send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
+            AnswerListener answer) {
         ToolPayload payload = (ToolPayload) request.payload();
         InetSocketAddress to = addresses.get(engine);
         Incoming incoming = new Incoming(answer, payload.mostReply());
@@ -63,14 +63,14 @@
     }
 
     private static final class Incoming implements Reply {
-        private final Answer answer;
+        private final AnswerListener answer;
         private final int most;
         private final ByteArrayOutputStream text = new ByteArrayOutputStream();
         private Outcome meaning;
         private boolean framed;
         private Call call;
 
-        Incoming(Answer answer, int most) {
+        Incoming(AnswerListener answer, int most) {
             this.answer = answer;
             this.most = most;
         }
--- a/src/main/java/maplerail/net/XnioLoop.java
+++ b/src/main/java/maplerail/net/XnioLoop.java
@@ -21,8 +21,8 @@
     private final long startNanos = System.nanoTime();
     private final double startMs = System.currentTimeMillis();
     private final InputBarrier barrier;
-    private double inputSinceMs = startMs;
-    private double connectionsSinceMs = startMs;
+    private double inputArrivedAfterMs = startMs;
+    private double connectionsArrivedAfterMs = startMs;
     private int looksInTime;
 
     /** Makes the loop of a thread. */
@@ -48,26 +48,26 @@
 
     private void look() {
         double lookMs = nowMs();
-        looksInTime = lookMs - inputSinceMs > STANDSTILL_MS ? 0 : looksInTime + 1;
+        looksInTime = lookMs - inputArrivedAfterMs > STANDSTILL_MS ? 0 : looksInTime + 1;
         barrier.pass(() -> {
-            inputSinceMs = lookMs;
-            if (looksInTime >= CATCH_UP_LOOKS) connectionsSinceMs = lookMs;
-            at(nowMs() + LOOK_MS, this::look);
+            inputArrivedAfterMs = lookMs;
+            if (looksInTime >= CATCH_UP_LOOKS) connectionsArrivedAfterMs = lookMs;
+            schedule(nowMs() + LOOK_MS, this::look);
         });
     }
 
     @Override
-    public double inputSinceMs() {
-        return inputSinceMs;
+    public double inputArrivedAfterMs() {
+        return inputArrivedAfterMs;
     }
 
     @Override
-    public double connectionsSinceMs() {
-        return connectionsSinceMs;
+    public double connectionsArrivedAfterMs() {
+        return connectionsArrivedAfterMs;
     }
 
     @Override
-    public Alarm at(double whenMs, Runnable task) {
+    public ScheduledTask schedule(double whenMs, Runnable task) {
         long millis = (long) Math.ceil(Math.max(0, whenMs - nowMs())); // the thread cuts off parts of one
         try {
             XnioExecutor.Key key = thread.executeAfter(task, millis, TimeUnit.MILLISECONDS);
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public Alarm afterInput(Runnable task) {
+    public ScheduledTask runAfterInput(Runnable task) {
         CancellableTask one = new CancellableTask(task);
         barrier.pass(one);
         return one::cancel;
--- a/src/test/java/maplerail/cli/DrainTest.java
+++ b/src/test/java/maplerail/cli/DrainTest.java
@@ -61,7 +61,7 @@
             send(client, request("a1", "lookup", "5.0"));
             StandIn.Exchange first = take(streams);
             world.gateway.drain();
-            await("nothing more is taken", () -> !world.gateway.phase().takes());
+            await("nothing more is taken", () -> !world.gateway.phase().acceptsRequests());
             send(client, request("a2", "lookup", "5.0"));
             first.chunk("data: [DONE]\n\n");
             first.last();
--- a/src/test/java/maplerail/core/BrokerRig.java
+++ b/src/test/java/maplerail/core/BrokerRig.java
@@ -21,7 +21,7 @@
     /** What the module orders next. */
     final List<Router.Action> next = new ArrayList<>();
     /** The attempts that went out, and what each asks before its first byte if it has to wait. */
-    final List<Engines.Answer> sent = new ArrayList<>();
+    final List<EngineTransport.AnswerListener> sent = new ArrayList<>();
     final List<BooleanSupplier> permits = new ArrayList<>();
     /** When the first reader was told to let go, and when the other was. */
     final List<Double> releasedAtMs = new ArrayList<>();
@@ -54,9 +54,9 @@
                 List.of(new Router.Kind(Router.Role.READ, 1), new Router.Kind(Router.Role.WRITE, 1)),
                 new Router.Limits(6, true, false, true, 1_000, false),
                 new Router.Rules(8, PIN_LIMIT_MS, 1, 1, 1, 1, 1));
-        broker = new Broker(router, settings, new Quotas(Budgets.open(MOST_OPEN), loop, line -> {}), loop, engines(),
+        broker = new Broker(router, settings, new Quotas(Budgets.withoutQuotas(MOST_OPEN), loop, line -> {}), loop, engines(),
                 log::add);
-        broker.members(new Router.Members(Router.ListKind.WHOLE, 1,
+        broker.updateEngines(new Router.Members(Router.ListKind.WHOLE, 1,
                 List.of(new Router.Member(READER, Router.State.READY, 0, 0, 0, 1, 0),
                         new Router.Member(WRITER, Router.State.READY, 0, 0, 0, 1, 1),
                         new Router.Member(OTHER_READER, Router.State.READY, 0, 0, 0, 1, 0))));
@@ -65,24 +65,24 @@
     /** Takes a request, for which the module orders this first. */
     void take(String id, Router.Action... first) {
         next.addAll(List.of(first));
-        handle = broker.take(new ServiceRequest(id, 0, 0, 0, 100, 0, 0, DEADLINE_MS, 10, 0, false, 10, null), caller());
+        handle = broker.submit(new ServiceRequest(id, 0, 0, 0, 100, 0, 0, DEADLINE_MS, 10, 0, false, 10, null), caller());
     }
 
     /** Lets the module order this now. */
     void order(Router.Action... actions) {
         next.addAll(List.of(actions));
-        broker.members(new Router.Members(Router.ListKind.CHANGES, ++listVersion, List.of()));
+        broker.updateEngines(new Router.Members(Router.ListKind.CHANGES, ++listVersion, List.of()));
     }
 
-    Engines.Answer lastSent() {
+    EngineTransport.AnswerListener lastSent() {
         return sent.get(sent.size() - 1);
     }
 
-    private Engines engines() {
-        return new Engines() {
+    private EngineTransport engines() {
+        return new EngineTransport() {
             @Override
-            public Sending send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
-                    Answer answer) {
+            public AttemptHandle send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
+                    AnswerListener answer) {
                 sent.add(answer);
                 permits.add(mayBegin);
                 return sending();
@@ -93,13 +93,13 @@
                 if (engine == READER) releasedAtMs.add(loop.now);
                 if (engine == OTHER_READER) otherReleasedAtMs.add(loop.now);
                 if (!answersReleases) return;
-                loop.at(loop.now + ANSWER_MS, () -> ended.accept(new ReleaseResult(true, 1, ANSWER_MS)));
+                loop.schedule(loop.now + ANSWER_MS, () -> ended.accept(new ReleaseResult(true, 1, ANSWER_MS)));
             }
         };
     }
 
-    private Engines.Sending sending() {
-        return new Engines.Sending() {
+    private EngineTransport.AttemptHandle sending() {
+        return new EngineTransport.AttemptHandle() {
             @Override
             public boolean unsent() {
                 return unsent;
@@ -126,7 +126,7 @@
     private Caller caller() {
         return new Caller() {
             @Override
-            public boolean hasLeft() {
+            public boolean hasDisconnected() {
                 return callerLeft;
             }
 
--- a/src/test/java/maplerail/core/BrokerTest.java
+++ b/src/test/java/maplerail/core/BrokerTest.java
@@ -26,7 +26,7 @@
         assertThat(((Ended) told.get(1)).kept()).isEqualTo(7);
         assertThat(((Ended) told.get(told.size() - 1)).closed()).isTrue();
         assertThat(released).isEmpty();
-        assertThat(broker.remembered()).isZero();
+        assertThat(broker.retainedRequests()).isZero();
     }
 
     @Test
@@ -34,7 +34,7 @@
         take("a", send(WRITER));
         out.get(0).answer.ended(Outcome.SERVED, 0);
         assertThat(caller).containsExactly("end");
-        assertThat(broker.remembered()).isZero();
+        assertThat(broker.retainedRequests()).isZero();
     }
 
     @Test
@@ -65,7 +65,7 @@
         assertThat(caller).containsExactly("fail DEADLINE");
         assertThat(outcomes()).containsExactly(Outcome.TIMEOUT);
         assertThat(told).anyMatch(e -> e instanceof Router.Abandoned);
-        assertThat(broker.remembered()).isZero();
+        assertThat(broker.retainedRequests()).isZero();
     }
 
     @Test
@@ -95,7 +95,7 @@
         assertThat(caller).containsExactly("event", "broken");
         assertThat(out.get(0).aborted).isTrue();
         assertThat(outcomes()).containsExactly(Outcome.RESET);
-        assertThat(broker.remembered()).isZero();
+        assertThat(broker.retainedRequests()).isZero();
     }
 
     /** After a start a crowd may come faster than half a core can take it in. */
--- a/src/test/java/maplerail/core/CalledOffAttemptTest.java
+++ b/src/test/java/maplerail/core/CalledOffAttemptTest.java
@@ -16,7 +16,7 @@
         next.add(send(WRITER));
         out.get(0).answer.ended(Outcome.READ, 0);
         next.add(new Release(1));
-        handle.gone();
+        handle.cancel();
         assertThat(out.get(1).aborted).isTrue();
         assertThat(outcomes()).containsExactly(Outcome.READ, Outcome.CANCELLED);
         assertThat(released).contains("1/a");
@@ -24,7 +24,7 @@
         out.get(1).answer.event(new byte[1]);
         out.get(1).answer.ended(Outcome.SERVED, 0);
         assertThat(caller).isEmpty();
-        assertThat(broker.remembered()).isZero();
+        assertThat(broker.retainedRequests()).isZero();
     }
 
     /** A busy loop may have read an engine's answer, or a timer may be due, before the caller's leaving is read. */
@@ -39,7 +39,7 @@
         assertThat(outcomes()).containsExactly(Outcome.READ, Outcome.NOT_SENT);
         assertThat(released).containsExactly("1/a");
         assertThat(caller).isEmpty();
-        assertThat(broker.remembered()).isZero();
+        assertThat(broker.retainedRequests()).isZero();
     }
 
     /** With the attempt ended nobody could let go of the state in time: to its reader it is being taken until then. */
@@ -59,7 +59,7 @@
         assertThat(out.get(1).aborted).isTrue();
         assertThat(outcomes()).containsExactly(Outcome.READ, Outcome.CANCELLED);
         assertThat(released).as("asked, and let go once nothing is out").startsWith("1/a", "1/a");
-        assertThat(broker.remembered()).isZero();
+        assertThat(broker.retainedRequests()).isZero();
     }
 
     /** A writer could not reach the first reader, the prompt is read at another, and then the request ends. */
@@ -80,7 +80,7 @@
         assertThat(out.get(2).aborted).isTrue();
         assertThat(released).contains("1/a", "3/a");
         loop.until(60_000);
-        assertThat(broker.remembered()).isZero();
+        assertThat(broker.retainedRequests()).isZero();
     }
 
     @Test
@@ -92,7 +92,7 @@
         act(new Router.Fail(1), new Cancel(1, 1));
         loop.until(9_100);
         assertThat(out.get(1).aborted).isTrue();
-        assertThat(broker.remembered()).isZero();
+        assertThat(broker.retainedRequests()).isZero();
     }
 
     @Test
--- a/src/test/java/maplerail/core/CutReadTest.java
+++ b/src/test/java/maplerail/core/CutReadTest.java
@@ -70,7 +70,7 @@
         assertThat(released).containsExactly("1/a");
         loop.until(2_600);
         assertThat(released).hasSizeGreaterThan(3).containsOnly("1/a");
-        assertThat(broker.remembered()).isZero();
+        assertThat(broker.retainedRequests()).isZero();
     }
 
     @Test
--- a/src/test/java/maplerail/core/FailureLogTest.java
+++ b/src/test/java/maplerail/core/FailureLogTest.java
@@ -35,7 +35,7 @@
         rig.lastSent().event("data: 1\n\n".getBytes());
         rig.lastSent().ended(Outcome.SERVED, 0);
         assertThat(rig.answers).containsExactly("end");
-        rig.handle.gone();
+        rig.handle.cancel();
         assertThat(rig.log).anyMatch(line -> line.startsWith("request a1 kind 0 left by its client before the end"));
     }
 
@@ -43,7 +43,7 @@
     void aRequestThatAnEngineCannotUseIsTold() {
         BrokerRig rig = new BrokerRig();
         rig.take("a1", new Router.Send(1, BrokerRig.READER, BrokerRig.DEADLINE_MS));
-        rig.lastSent().unfit();
+        rig.lastSent().rejected();
         assertThat(rig.answers).containsExactly("fail");
         assertThat(rig.log).anyMatch(line -> line.startsWith("request a1 kind 0 turned away by an engine as unfit"));
     }
--- a/src/test/java/maplerail/core/LifecycleTest.java
+++ b/src/test/java/maplerail/core/LifecycleTest.java
@@ -17,7 +17,7 @@
     void onlyLegalMovesAreMade(String moves, boolean legal) {
         Lifecycle lifecycle = new Lifecycle();
         Runnable all = () -> {
-            for (String to : moves.split(" ")) lifecycle.move(Phase.valueOf(to));
+            for (String to : moves.split(" ")) lifecycle.moveTo(Phase.valueOf(to));
         };
         if (legal) {
             all.run();
--- a/src/test/java/maplerail/core/LostReadTest.java
+++ b/src/test/java/maplerail/core/LostReadTest.java
@@ -32,7 +32,7 @@
         rig.answersReleases = true;
     }
 
-    private Engines.Answer readOut() {
+    private EngineTransport.AnswerListener readOut() {
         rig.take("a1", new Router.Send(1, READER, LONG_MS));
         return rig.lastSent();
     }
@@ -60,7 +60,7 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.1, 0.5, 0.9, 1, 1.3, 2.6})
     void theAnswerOfAReadEndsItsReleasesAndBeginsItsLease(double readTerms) {
-        Engines.Answer read = readOut();
+        EngineTransport.AnswerListener read = readOut();
         rig.loop.until(rig.loop.now + readTerms * PIN_LIMIT_MS);
         rig.next.add(new Router.Send(1, WRITER, LONG_MS));
         read.ended(Outcome.READ, 0);
@@ -73,7 +73,7 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.1, 0.9, 1, 2.6})
     void nothingIsReleasedThatAWriteWaitsForWhoseAnswerHasBegun(double readTerms) {
-        Engines.Answer read = readOut();
+        EngineTransport.AnswerListener read = readOut();
         rig.loop.until(rig.loop.now + readTerms * PIN_LIMIT_MS);
         rig.next.add(new Router.Send(1, WRITER, LONG_MS));
         read.ended(Outcome.READ, 0);
@@ -89,13 +89,13 @@
     }
 
     /** Ends the first read, upon which the module orders this in the same breath. */
-    private void cut(Cut how, Engines.Answer read, Router.Action... then) {
+    private void cut(Cut how, EngineTransport.AnswerListener read, Router.Action... then) {
         if (how == Cut.CANCELLED) rig.next.add(new Router.Cancel(1, 0));
         rig.next.addAll(List.of(then));
         switch (how) {
             case CANCELLED -> rig.order();
             case RESET -> read.ended(Outcome.RESET, 0);
-            default -> rig.handle.gone();
+            default -> rig.handle.cancel();
         }
     }
 
@@ -107,7 +107,7 @@
     @EnumSource
     void aReadThatWasCutOffIsFollowedByReleasesForTheTimeThatItsReaderWasTold(Cut how) {
         double sentMs = rig.loop.now;
-        Engines.Answer read = readOut();
+        EngineTransport.AnswerListener read = readOut();
         rig.loop.until(sentMs + CUT_MS);
         cut(how, read);
         rig.loop.until(sentMs + 2 * DEADLINE_MS);
@@ -119,7 +119,7 @@
     @EnumSource(names = {"CANCELLED", "RESET"})
     void aStateOfASecondReadAtTheSameReaderStaysForItsWrite(Cut how) {
         double sentMs = rig.loop.now;
-        Engines.Answer read = readOut();
+        EngineTransport.AnswerListener read = readOut();
         rig.loop.until(sentMs + CUT_MS);
         cut(how, read, new Router.Send(1, READER, LONG_MS));
         assertThat(rig.sent).hasSize(2);
--- a/src/test/java/maplerail/core/LostWriteTest.java
+++ b/src/test/java/maplerail/core/LostWriteTest.java
@@ -24,9 +24,9 @@
     private final BrokerRig rig = new BrokerRig();
 
     /** A request whose read has ended now and whose write is out. */
-    private Engines.Answer writeOut(int number) {
+    private EngineTransport.AnswerListener writeOut(int number) {
         rig.take("a" + number, new Router.Send(number, READER, LONG_MS));
-        Engines.Answer read = rig.lastSent();
+        EngineTransport.AnswerListener read = rig.lastSent();
         rig.loop.until(rig.loop.now + READ_MS);
         rig.next.add(new Router.Send(number, WRITER, LONG_MS));
         read.ended(Outcome.READ, 0);
@@ -75,7 +75,7 @@
     @Test
     void aStateIsLetGoInTimeThoughWritersUsuallyTakeNearlyAsLong() {
         for (int number = 1; number <= 5; number++) {
-            Engines.Answer write = writeOut(number);
+            EngineTransport.AnswerListener write = writeOut(number);
             rig.loop.until(rig.loop.now + 0.6 * PIN_LIMIT_MS);
             write.event(new byte[1]);
             write.ended(Outcome.SERVED, 0);
@@ -91,7 +91,7 @@
     @ParameterizedTest
     @EnumSource(names = {"CANCELLED", "TIMEOUT", "RESET", "UNREACHABLE"})
     void aWriteThatEndsWithNoAnswerDoesNotPutOffTheEndOfTheLease(Outcome unheard) {
-        Engines.Answer first = writeOut(1);
+        EngineTransport.AnswerListener first = writeOut(1);
         double readEndedMs = rig.loop.now;
         rig.loop.until(readEndedMs + 0.8 * PIN_LIMIT_MS);
         first.ended(unheard, 0);
@@ -102,7 +102,7 @@
 
     @Test
     void aWriterThatTurnsItsRequestAwayWasRunningAndTheLeaseBeginsAnew() {
-        Engines.Answer first = writeOut(1);
+        EngineTransport.AnswerListener first = writeOut(1);
         double readEndedMs = rig.loop.now;
         rig.loop.until(readEndedMs + 0.8 * PIN_LIMIT_MS);
         rig.next.add(new Router.Send(1, WRITER, LONG_MS));
--- a/src/test/java/maplerail/core/RuleChecksTest.java
+++ b/src/test/java/maplerail/core/RuleChecksTest.java
@@ -23,7 +23,7 @@
     }
 
     private long counted(Enum<?> what) {
-        return rig.broker.counters().of(what);
+        return rig.broker.counters().get(what);
     }
 
     @Test
--- a/src/test/java/maplerail/core/ScriptedBroker.java
+++ b/src/test/java/maplerail/core/ScriptedBroker.java
@@ -45,12 +45,12 @@
     boolean moduleFails;
     Broker broker;
 
-    final class Out implements Engines.Sending {
-        final Engines.Answer answer;
+    final class Out implements EngineTransport.AttemptHandle {
+        final EngineTransport.AnswerListener answer;
         boolean aborted;
         boolean paused;
 
-        Out(Engines.Answer answer) {
+        Out(EngineTransport.AnswerListener answer) {
             this.answer = answer;
         }
 
@@ -92,10 +92,10 @@
         Router.Settings settings = new Router.Settings(1, 1, 0, 2, false, 1, List.of(), List.of(),
                 List.of(new Router.Kind(Router.Role.READ, 1), new Router.Kind(Router.Role.WRITE, 1)),
                 new Router.Limits(5, true, true, true, 1_000, false), new Router.Rules(8, pinLimitMs, 1, 1, 1, 1, 1));
-        Engines engines = new Engines() {
+        EngineTransport engines = new EngineTransport() {
             @Override
-            public Sending send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
-                    Answer answer) {
+            public AttemptHandle send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
+                    AnswerListener answer) {
                 out.add(new Out(answer));
                 return out.get(out.size() - 1);
             }
@@ -110,27 +110,27 @@
                 releasedForMs = untilMs - loop.now;
             }
         };
-        broker = new Broker(router, settings, new Quotas(Budgets.open(3), loop, line -> {}), loop, engines, line -> {});
+        broker = new Broker(router, settings, new Quotas(Budgets.withoutQuotas(3), loop, line -> {}), loop, engines, line -> {});
         list(State.READY);
         told.clear();
     }
 
     void list(State writer) {
-        broker.members(new Router.Members(ListKind.WHOLE, 1, List.of(new Member(READER, State.READY, 0, 0, 0, 1, 0),
+        broker.updateEngines(new Router.Members(ListKind.WHOLE, 1, List.of(new Member(READER, State.READY, 0, 0, 0, 1, 0),
                 new Member(WRITER, writer, 0, 0, 0, 1, 1), new Member(OTHER_READER, State.READY, 0, 0, 0, 1, 0))));
     }
 
     /** Makes the module do something, by news that changes nothing. */
     void act(Router.Action... actions) {
         next.addAll(List.of(actions));
-        broker.members(new Router.Members(ListKind.CHANGES, 2, List.of()));
+        broker.updateEngines(new Router.Members(ListKind.CHANGES, 2, List.of()));
     }
 
     RequestHandle take(String id, Router.Action... actions) {
         next.addAll(List.of(actions));
-        return broker.take(new ServiceRequest(id, 0, 0, 0, 10, 0, 0, 5_000, 10, 0, false, 10, null), new Caller() {
+        return broker.submit(new ServiceRequest(id, 0, 0, 0, 10, 0, 0, 5_000, 10, 0, false, 10, null), new Caller() {
             @Override
-            public boolean hasLeft() {
+            public boolean hasDisconnected() {
                 return callerLeft;
             }
 
--- a/src/test/java/maplerail/front/RequestTurnsTest.java
+++ b/src/test/java/maplerail/front/RequestTurnsTest.java
@@ -19,23 +19,23 @@
         }
 
         @Override
-        public Alarm at(double whenMs, Runnable task) {
+        public ScheduledTask schedule(double whenMs, Runnable task) {
             throw new AssertionError("no timer is needed");
         }
 
         @Override
-        public Alarm afterInput(Runnable task) {
+        public ScheduledTask runAfterInput(Runnable task) {
             afterInput.add(task);
             return () -> afterInput.remove(task);
         }
 
         @Override
-        public double inputSinceMs() {
+        public double inputArrivedAfterMs() {
             return nowMs();
         }
 
         @Override
-        public double connectionsSinceMs() {
+        public double connectionsArrivedAfterMs() {
             return nowMs();
         }
     });
--- a/src/test/java/maplerail/net/EngineClientTest.java
+++ b/src/test/java/maplerail/net/EngineClientTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.BlockingQueue;
 import maplerail.Router.Outcome;
 import maplerail.core.ServiceRequest;
-import maplerail.core.Engines;
+import maplerail.core.EngineTransport;
 import maplerail.support.StandIn;
 import maplerail.support.World;
 import org.junit.jupiter.api.Test;
@@ -43,12 +43,12 @@
         return new ServiceRequest(id, 0, 0, 0, 10, 0, 0, 10_000, 10, 0, false, 0, payload);
     }
 
-    private final class Heard implements Engines.Answer {
+    private final class Heard implements EngineTransport.AnswerListener {
         @Override
         public void event(byte[] event) {}
 
         @Override
-        public void unfit() {
+        public void rejected() {
             heard.add("unfit");
         }
 
@@ -82,7 +82,7 @@
     void aReleaseThatAKeptConnectionSwallowsGoesOutAgainAtOnceOnANewOne() throws Exception {
         BlockingQueue<StandIn.Exchange> reads = World.queue();
         BlockingQueue<Double> releasedMs = World.queue();
-        BlockingQueue<Engines.ReleaseResult> results = World.queue();
+        BlockingQueue<EngineTransport.ReleaseResult> results = World.queue();
         try (StandIn engine = new StandIn(exchange -> {
             if (exchange.method.equals("POST")) {
                 reads.add(exchange);
@@ -102,7 +102,7 @@
             double startMs = loop.nowMs();
             loop.execute(() -> client.release(ENGINE, "a", startMs + 2_000, results::add));
             assertThat(take(releasedMs) - startMs).isLessThan(200);
-            Engines.ReleaseResult result = take(results);
+            EngineTransport.ReleaseResult result = take(results);
             assertThat(result.answered()).isTrue();
             assertThat(result.tries()).isEqualTo(2);
         }
@@ -110,12 +110,12 @@
 
     @Test
     void aReleaseThatIsNeverAnsweredIsGivenUpAtItsTime() throws Exception {
-        BlockingQueue<Engines.ReleaseResult> results = World.queue();
+        BlockingQueue<EngineTransport.ReleaseResult> results = World.queue();
         try (StandIn engine = new StandIn(StandIn.Exchange::awaitEnd)) {
             EngineClient client = client(engine, 4);
             double startMs = loop.nowMs();
             loop.execute(() -> client.release(ENGINE, "a", startMs + 400, results::add));
-            Engines.ReleaseResult result = take(results);
+            EngineTransport.ReleaseResult result = take(results);
             assertThat(result.answered()).isFalse();
             assertThat(result.tries()).isBetween(2, 4);
             assertThat(loop.nowMs()).isGreaterThanOrEqualTo(startMs + 400);
--- a/src/test/java/maplerail/net/XnioLoopTest.java
+++ b/src/test/java/maplerail/net/XnioLoopTest.java
@@ -24,21 +24,21 @@
     @Test
     void aTaskThatFailsKeepsNoOtherFromRunning() throws Exception {
         loop.execute(() -> {
-            loop.afterInput(() -> {
+            loop.runAfterInput(() -> {
                 throw new IllegalStateException("a task of a test that fails on purpose");
             });
-            loop.afterInput(() -> heard.add("ran"));
+            loop.runAfterInput(() -> heard.add("ran"));
         });
         assertThat(World.take(heard)).isEqualTo("ran");
         double beforeMs = loop.nowMs();
-        World.await("it still looks", () -> loop.inputSinceMs() > beforeMs);
+        World.await("it still looks", () -> loop.inputArrivedAfterMs() > beforeMs);
     }
 
     @Test
     void aTaskThatWasCalledOffDoesNotRun() throws Exception {
         loop.execute(() -> {
-            loop.afterInput(() -> heard.add("called off")).cancel();
-            loop.afterInput(() -> heard.add("ran"));
+            loop.runAfterInput(() -> heard.add("called off")).cancel();
+            loop.runAfterInput(() -> heard.add("ran"));
         });
         assertThat(World.take(heard)).isEqualTo("ran");
     }
@@ -46,16 +46,16 @@
     @Test
     void whatIsReadAfterAStandstillMayHaveComeAtItsStart() throws Exception {
         double startMs = loop.nowMs();
-        World.await("it looks", () -> loop.inputSinceMs() > startMs);
+        World.await("it looks", () -> loop.inputArrivedAfterMs() > startMs);
         loop.execute(() -> {
             double stoppedMs = loop.nowMs();
             while (loop.nowMs() < stoppedMs + STOOD_STILL_MS) Thread.onSpinWait();
-            heard.add(loop.inputSinceMs() <= stoppedMs ? "unread since" : "known");
-            loop.afterInput(() -> heard.add(loop.connectionsSinceMs() <= stoppedMs ? "unread since" : "known"));
+            heard.add(loop.inputArrivedAfterMs() <= stoppedMs ? "unread since" : "known");
+            loop.runAfterInput(() -> heard.add(loop.connectionsArrivedAfterMs() <= stoppedMs ? "unread since" : "known"));
         });
         assertThat(World.take(heard)).isEqualTo("unread since");
         assertThat(World.take(heard)).as("of connections, of which some may still wait").isEqualTo("unread since");
         double afterMs = loop.nowMs();
-        World.await("it has caught up", () -> loop.connectionsSinceMs() > afterMs);
+        World.await("it has caught up", () -> loop.connectionsArrivedAfterMs() > afterMs);
     }
 }
--- a/src/test/java/maplerail/support/ManualLoop.java
+++ b/src/test/java/maplerail/support/ManualLoop.java
@@ -19,24 +19,24 @@
     }
 
     @Override
-    public Alarm at(double whenMs, Runnable task) {
+    public ScheduledTask schedule(double whenMs, Runnable task) {
         Due one = new Due(whenMs, task);
         due.add(one);
         return () -> due.remove(one);
     }
 
     @Override
-    public Alarm afterInput(Runnable task) {
-        return at(now, task);
+    public ScheduledTask runAfterInput(Runnable task) {
+        return schedule(now, task);
     }
 
     @Override
-    public double inputSinceMs() {
+    public double inputArrivedAfterMs() {
         return now - behindMs;
     }
 
     @Override
-    public double connectionsSinceMs() {
+    public double connectionsArrivedAfterMs() {
         return now - behindMs;
     }
 
