--- a/src/main/java/maplerail/cli/Gateway.java
+++ b/src/main/java/maplerail/cli/Gateway.java
@@ -27,7 +27,7 @@
 import maplerail.front.jsonrpc.RpcFront;
 import maplerail.front.platform.PlatformFront;
 import maplerail.net.EngineClient;
-import maplerail.net.Pool;
+import maplerail.net.ConnectionPool;
 import maplerail.net.XnioLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -88,7 +88,7 @@
         boolean on = toolsConfig != null;
         int sockets = config.wire().sockets();
         int tooling = on ? sockets * (RPC_PERCENT + TOOLS_PERCENT) / 100 : 0;
-        Pool pool = new Pool(loop, buffers, config.wire().connIdleMs(), config.wire().connectTimeoutMs(),
+        ConnectionPool pool = new ConnectionPool(loop, buffers, config.wire().connIdleMs(), config.wire().connectTimeoutMs(),
                 sockets - OWN_SOCKETS - sockets * CLIENT_PERCENT / 100 - tooling);
         engines = new EngineClient(pool);
         Router.Settings settings = config.settings();
@@ -130,7 +130,7 @@
     public void start() throws IOException {
         loop.execute(() -> {
             remember(config.known());
-            watch.ask();
+            watch.poll();
             if (tools != null) tools.start();
         });
         server = listen(config.listen(), front, CLIENT_PERCENT, front::at);
@@ -158,7 +158,7 @@
         if (known == null) return;
         unconfirmed = known;
         boolean pushed = !config.settings().askForList();
-        if (!known.members().isEmpty()) watch.from(known.version(), pushed);
+        if (!known.members().isEmpty()) watch.resumeFrom(known.version(), pushed);
         if (pushed && !known.members().isEmpty()) loop.at(loop.nowMs() + CONFIRM_MS, this::useRememberedList);
         else useRememberedList();
     }
@@ -171,7 +171,7 @@
         if (unconfirmed == null) return;
         EngineList known = unconfirmed;
         unconfirmed = null;
-        engines.addresses(known.addresses());
+        engines.addAddresses(known.addresses());
         broker.members(new Router.Members(Router.ListKind.REMEMBERED, known.version(), known.members()));
         if (!known.members().isEmpty()) ready();
     }
@@ -199,7 +199,7 @@
 
     private void hear(EngineList list) {
         useRememberedList();
-        engines.addresses(list.addresses());
+        engines.addAddresses(list.addresses());
         broker.members(new Router.Members(list.whole() ? Router.ListKind.WHOLE : Router.ListKind.CHANGES,
                 list.version(), list.members()));
         ready();
@@ -215,7 +215,7 @@
      */
     public void reload(NodeConfig news) {
         loop.execute(() -> {
-            watch.move(news.discovery());
+            watch.switchAgent(news.discovery());
             LOG.info("configuration read again: discovery is at {}", news.discovery());
         });
     }
--- a/src/main/java/maplerail/cli/ToolServices.java
+++ b/src/main/java/maplerail/cli/ToolServices.java
@@ -13,7 +13,7 @@
 import maplerail.core.Quotas;
 import maplerail.core.Broker;
 import maplerail.discovery.ConsulWatch;
-import maplerail.net.Pool;
+import maplerail.net.ConnectionPool;
 import maplerail.net.ToolClient;
 import maplerail.net.XnioLoop;
 import org.slf4j.Logger;
@@ -28,7 +28,7 @@
 
     private final ToolsConfig config;
     private final XnioLoop loop;
-    private final Pool pool;
+    private final ConnectionPool pool;
     private ConsulWatch watch;
     private final Map<String, Broker> brokers = new TreeMap<>();
     private final Map<String, ToolClient> clients = new TreeMap<>();
@@ -37,7 +37,7 @@
             int mostConnections) {
         this.config = config;
         this.loop = loop;
-        this.pool = new Pool(loop, buffers, IDLE_MS, CONNECT_MS, mostConnections);
+        this.pool = new ConnectionPool(loop, buffers, IDLE_MS, CONNECT_MS, mostConnections);
         Router.Settings settings = config.settings(seed);
         Quotas quotas = new Quotas(config.budgets(MOST_OPEN), loop, line -> LOG.info("{}", line));
         for (String name : config.services().keySet()) {
@@ -66,7 +66,7 @@
 
     /** Takes what may change while it runs from a new file: where Consul is. */
     void reload(ToolsConfig news) {
-        if (watch != null && news.consul() != null) watch.move(news.consul());
+        if (watch != null && news.consul() != null) watch.switchAgent(news.consul());
     }
 
     private static EngineList listed(List<InetSocketAddress> servers) {
@@ -77,7 +77,7 @@
     }
 
     private void hear(String service, EngineList list) {
-        clients.get(service).addresses(list.addresses());
+        clients.get(service).addAddresses(list.addresses());
         brokers.get(service).members(new Router.Members(Router.ListKind.WHOLE, list.version(), list.members()));
     }
 
--- a/src/main/java/maplerail/discovery/BlockingQuery.java
+++ b/src/main/java/maplerail/discovery/BlockingQuery.java
@@ -7,7 +7,7 @@
 import maplerail.config.ConfigException;
 import maplerail.config.Tree;
 import maplerail.net.Call;
-import maplerail.net.Pool;
+import maplerail.net.ConnectionPool;
 import maplerail.net.Requests;
 import maplerail.net.TextReply;
 import maplerail.net.XnioLoop;
@@ -22,7 +22,7 @@
     private static final double FIRST_AGAIN_MS = 100;
     private static final double MOST_AGAIN_MS = 5_000;
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final XnioLoop loop;
     private InetSocketAddress at;
     private final String path;
@@ -30,7 +30,7 @@
     private long index;
     private double againMs = FIRST_AGAIN_MS;
 
-    BlockingQuery(Pool pool, XnioLoop loop, InetSocketAddress at, String path, Consumer<Tree> news) {
+    BlockingQuery(ConnectionPool pool, XnioLoop loop, InetSocketAddress at, String path, Consumer<Tree> news) {
         this.pool = pool;
         this.loop = loop;
         this.at = at;
--- a/src/main/java/maplerail/discovery/ConsulWatch.java
+++ b/src/main/java/maplerail/discovery/ConsulWatch.java
@@ -14,12 +14,12 @@
 import maplerail.config.EngineIds;
 import maplerail.config.EngineList;
 import maplerail.config.Tree;
-import maplerail.net.Pool;
+import maplerail.net.ConnectionPool;
 import maplerail.net.XnioLoop;
 
 /** Consul's catalogue says which services there are; its health API says which of their servers may be called. */
 public final class ConsulWatch {
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final XnioLoop loop;
     private InetSocketAddress at;
     private final Set<String> wanted;
@@ -29,7 +29,7 @@
     private long version;
 
     /** Makes a watch for some services, which tells the whole list of a service each time. */
-    public ConsulWatch(Pool pool, XnioLoop loop, InetSocketAddress at, Set<String> wanted,
+    public ConsulWatch(ConnectionPool pool, XnioLoop loop, InetSocketAddress at, Set<String> wanted,
             BiConsumer<String, EngineList> news) {
         this.pool = pool;
         this.loop = loop;
@@ -48,7 +48,7 @@
     }
 
     /** Asks another agent from now on; what is known stays known until it answers. */
-    public void move(InetSocketAddress to) {
+    public void switchAgent(InetSocketAddress to) {
         if (to.equals(at)) return;
         at = to;
         queries.forEach(query -> query.move(to));
--- a/src/main/java/maplerail/discovery/PlatformWatch.java
+++ b/src/main/java/maplerail/discovery/PlatformWatch.java
@@ -10,7 +10,7 @@
 import maplerail.config.Names;
 import maplerail.config.Tree;
 import maplerail.net.Call;
-import maplerail.net.Pool;
+import maplerail.net.ConnectionPool;
 import maplerail.net.Requests;
 import maplerail.net.TextReply;
 import maplerail.net.XnioLoop;
@@ -31,7 +31,7 @@
     private static final double SILENT_MS = 500;
     private static final double DOUBT_MS = 2_000; // after a move, in which a list older than ours is not believed
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final XnioLoop loop;
     private InetSocketAddress at;
     private final Names names;
@@ -44,7 +44,7 @@
     private double doubtUntilMs = Double.NEGATIVE_INFINITY;
 
     /** Makes a watch that tells each piece of news, for one of so many nodes. */
-    public PlatformWatch(Pool pool, XnioLoop loop, InetSocketAddress at, Names names, int nodes, long seed,
+    public PlatformWatch(ConnectionPool pool, XnioLoop loop, InetSocketAddress at, Names names, int nodes, long seed,
             Consumer<EngineList> news) {
         this.pool = pool;
         this.loop = loop;
@@ -58,14 +58,14 @@
      * Goes on from a list that is known, so that discovery need not send it again; called before the first call. That
      * call is answered at once where the list has to be confirmed, and waits for news where it need not be.
      */
-    public void from(long known, boolean confirm) {
+    public void resumeFrom(long known, boolean confirm) {
         version = known;
         newest = known;
         unconfirmed = confirm;
     }
 
     /** Asks for the whole list, unless one is known, then for changes, for good. */
-    public void ask() {
+    public void poll() {
         String target = "/api/targets" + (version < 0 ? "" : "?index=" + version + "&wait=" + waitMs());
         new WatchCall().start(Requests.to(at, Methods.GET, target));
     }
@@ -75,13 +75,13 @@
     }
 
     /** Asks at another address from now on. The call that is still out at the old one is heard to its end. */
-    public void move(InetSocketAddress to) {
+    public void switchAgent(InetSocketAddress to) {
         if (to.equals(at)) return;
         at = to;
         version = -1;
         backOff.reset();
         doubtUntilMs = loop.nowMs() + DOUBT_MS;
-        ask();
+        poll();
     }
 
     /** A trouble that lasts is told once, not with each call. */
@@ -131,7 +131,7 @@
                 version = list.version();
                 unconfirmed = false;
                 backOff.reset();
-                ask();
+                poll();
             }
             if (older) return true;
             newest = list.version();
@@ -144,7 +144,7 @@
             if (!asked.equals(at)) return; // the other address has its own call out
             double now = loop.nowMs();
             loop.at(refused ? backOff.againMs(askedMs, now) : now + BackOff.LEAST_MS, () -> {
-                if (asked.equals(at)) ask();
+                if (asked.equals(at)) poll();
             });
         }
     }
--- a/src/main/java/maplerail/net/Call.java
+++ b/src/main/java/maplerail/net/Call.java
@@ -19,7 +19,7 @@
     /** After the last byte of a head that is not whole: a system sends a lost packet again after 200 ms or more. */
     private static final double HEAD_SILENCE_MS = 400;
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final Supplier<ClientRequest> request;
     private final byte[] body;
     private final BooleanSupplier mayBegin;
@@ -47,7 +47,7 @@
     private boolean done;
 
     /** Makes a call whose head is asked for when it is about to be written: what it tells of time must hold then. */
-    Call(Pool pool, Supplier<ClientRequest> request, byte[] body, BooleanSupplier mayBegin, Reply reply,
+    Call(ConnectionPool pool, Supplier<ClientRequest> request, byte[] body, BooleanSupplier mayBegin, Reply reply,
             boolean urgent) {
         this.pool = pool;
         this.request = request;
--- a/src/main/java/maplerail/net/Pool.java
+++ b/src/main/java/maplerail/net/ConnectionPool.java
@@ -23,8 +23,8 @@
 import org.xnio.StreamConnection;
 
 /** Connections to engines and other servers, kept while they are fresh. Nothing here sends anything twice. */
-public final class Pool {
-    private static final Logger LOG = LoggerFactory.getLogger(Pool.class);
+public final class ConnectionPool {
+    private static final Logger LOG = LoggerFactory.getLogger(ConnectionPool.class);
     private static final double RETIRE_SHARE = 0.5; // of the time after which the far side closes
     private static final double SETTLE_MS = 30; // after an answer, in which what else belongs to it would come
     private static final int MAX_CONNECTING = 24; // to one address: one that never answers must not take all
@@ -60,7 +60,7 @@
      * Makes a pool of at most so many connections, and some reserved ones, which the far side closes after being idle
      * for some time.
      */
-    public Pool(XnioLoop loop, ByteBufferPool buffers, double connIdleMs, double connectTimeoutMs, int most) {
+    public ConnectionPool(XnioLoop loop, ByteBufferPool buffers, double connIdleMs, double connectTimeoutMs, int most) {
         this.loop = loop;
         this.buffers = buffers;
         this.retireMs = connIdleMs * RETIRE_SHARE;
--- a/src/main/java/maplerail/net/EngineClient.java
+++ b/src/main/java/maplerail/net/EngineClient.java
@@ -25,18 +25,18 @@
     private static final int MOST_READ = 64 * 1024; // of an answer that is no stream
     private static final double READ_BODY_MS = 100; // after the head of a reader's answer, which comes with its body
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final XnioLoop loop;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
 
     /** Makes a client that opens its connections from a pool. */
-    public EngineClient(Pool pool) {
+    public EngineClient(ConnectionPool pool) {
         this.pool = pool;
         this.loop = pool.loop();
     }
 
     /** Where engines are; one that left the list stays known, as something may be held there. */
-    public void addresses(Map<Long, InetSocketAddress> news) {
+    public void addAddresses(Map<Long, InetSocketAddress> news) {
         addresses.putAll(news);
     }
 
--- a/src/main/java/maplerail/net/Link.java
+++ b/src/main/java/maplerail/net/Link.java
@@ -9,7 +9,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** An open connection of a {@link Pool}; one call has it at a time, or none. */
+/** An open connection of a {@link ConnectionPool}; one call has it at a time, or none. */
 final class Link {
     private static final Logger LOG = LoggerFactory.getLogger(Link.class);
 
--- a/src/main/java/maplerail/net/ReleaseCall.java
+++ b/src/main/java/maplerail/net/ReleaseCall.java
@@ -22,7 +22,7 @@
     private static final double AGAIN_MS = 30; // after a try that failed while no other is out
     private static final int MOST_OUT = 3;
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final Loop loop;
     private final InetSocketAddress to;
     private final String target;
@@ -36,7 +36,7 @@
     private int tries;
     private boolean done;
 
-    ReleaseCall(Pool pool, InetSocketAddress to, String id, double untilMs, Consumer<ReleaseResult> ended) {
+    ReleaseCall(ConnectionPool pool, InetSocketAddress to, String id, double untilMs, Consumer<ReleaseResult> ended) {
         this.pool = pool;
         this.loop = pool.loop();
         this.to = to;
--- a/src/main/java/maplerail/net/ToolClient.java
+++ b/src/main/java/maplerail/net/ToolClient.java
@@ -26,18 +26,18 @@
     private static final HttpString ID = new HttpString("Req-Id");
     private static final HttpString DEADLINE = new HttpString("Req-Deadline");
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final XnioLoop loop;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
 
     /** Makes a client that opens its connections from a pool. */
-    public ToolClient(Pool pool) {
+    public ToolClient(ConnectionPool pool) {
         this.pool = pool;
         this.loop = pool.loop();
     }
 
     /** Where tool servers are. */
-    public void addresses(Map<Long, InetSocketAddress> news) {
+    public void addAddresses(Map<Long, InetSocketAddress> news) {
         addresses.putAll(news);
     }
 
--- a/src/test/java/maplerail/net/PoolTest.java
+++ b/src/test/java/maplerail/net/ConnectionPoolTest.java
@@ -34,35 +34,35 @@
 import org.xnio.FailedIoFuture;
 import org.xnio.OptionMap;
 
-class PoolTest {
+class ConnectionPoolTest {
     @RegisterExtension
     private final LoopOnWorker own;
     private final XnioLoop loop;
     private final BlockingQueue<String> heard = World.queue();
 
-    PoolTest() throws Exception {
+    ConnectionPoolTest() throws Exception {
         own = new LoopOnWorker();
         loop = own.loop();
     }
 
-    private Pool pool(double connIdleMs) {
+    private ConnectionPool pool(double connIdleMs) {
         return pool(connIdleMs, 250);
     }
 
-    private Pool pool(double connIdleMs, double connectMs) {
+    private ConnectionPool pool(double connIdleMs, double connectMs) {
         return pool(connIdleMs, connectMs, 50);
     }
 
     /** One with room for as many connections as a fast machine opens before the first of them may be used again. */
-    private Pool roomy() {
+    private ConnectionPool roomy() {
         return pool(30_000, 250, 2_000);
     }
 
-    private Pool pool(double connIdleMs, double connectMs, int most) {
+    private ConnectionPool pool(double connIdleMs, double connectMs, int most) {
         return own.pool(connIdleMs, connectMs, most);
     }
 
-    private String post(Pool pool, InetSocketAddress to) throws Exception {
+    private String post(ConnectionPool pool, InetSocketAddress to) throws Exception {
         loop.execute(() -> pool.start(to, request(to), "{}".getBytes(), new Heard(heard)));
         return take(heard);
     }
@@ -98,7 +98,7 @@
     @Test
     void aConnectionIsUsedAgainAndRetiredLongBeforeTheFarSideWould() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
-            Pool kept = roomy();
+            ConnectionPool kept = roomy();
             // A connection is not used again before it has been quiet for a while.
             for (int opened = -1; opened != server.connections();) {
                 opened = server.connections();
@@ -116,7 +116,7 @@
             if (x.number == 0) x.reply(200, "");
             else x.reset();
         })) {
-            Pool pool = roomy();
+            ConnectionPool pool = roomy();
             int posts = 1;
             while (post(pool, server.socketAddress()).equals("end")) posts++;
             assertThat(posts).isGreaterThan(1);
@@ -131,7 +131,7 @@
         BlockingQueue<String> ends = World.queue();
         try (ServerSocket server = new ServerSocket(0, 9, InetAddress.getByName("127.0.0.1"))) {
             InetSocketAddress at = (InetSocketAddress) server.getLocalSocketAddress();
-            Pool pool = pool(1e12);
+            ConnectionPool pool = pool(1e12);
             loop.execute(() -> {
                 io.undertow.client.ClientRequest request = Requests.to(at, Methods.POST, "/");
                 request.getRequestHeaders().put(io.undertow.util.Headers.CONTENT_LENGTH, 32 << 20);
@@ -152,7 +152,7 @@
             x.write("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             if (x.number == 0) x.reply(500, "another's");
         })) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             for (int i = 1; i <= 3; i++) {
                 assertThat(post(pool, server.socketAddress())).isEqualTo("end");
                 int seen = i;
@@ -166,7 +166,7 @@
     void thePoolHoldsNoMoreThanItsPart() throws Exception {
         BlockingQueue<StandIn.Exchange> waiting = World.queue();
         try (StandIn server = new StandIn(waiting::add); StandIn other = new StandIn(x -> x.reply(200, ""))) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             assertThat(post(pool, other.socketAddress())).isEqualTo("end");
             for (int i = 0; i < 50; i++) {
                 loop.execute(() -> pool.start(server.socketAddress(), request(server.socketAddress()), new byte[2],
@@ -186,7 +186,7 @@
             if (x.method.equals("DELETE")) x.reply(204, "");
             else waiting.add(x);
         }); StandIn agent = new StandIn(x -> x.reply(200, ""))) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             InetSocketAddress engine = hanging.socketAddress();
             for (int i = 0; i < 50; i++) {
                 loop.execute(() -> pool.start(engine, request(engine), new byte[2], new Heard(heard)));
@@ -212,7 +212,7 @@
             else released.await();
             x.reply(200, "");
         })) {
-            Pool pool = pool(30_000, 20_000);
+            ConnectionPool pool = pool(30_000, 20_000);
             InetSocketAddress to = server.socketAddress();
             loop.execute(() -> {
                 for (int i = 0; i < 60; i++) pool.start(to, request(to), new byte[2], new Heard(heard));
@@ -226,7 +226,7 @@
     @Test
     void moreCallsThanMayConnectWaitForTheirTurn() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             loop.execute(() -> {
                 for (int i = 0; i < 100; i++) {
                     pool.start(server.socketAddress(), request(server.socketAddress()), new byte[2], new Heard(heard));
@@ -253,7 +253,7 @@
     @Test
     void aConnectionThatCameUpWhileTheLoopStoodStillIsUsed() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
-            Pool pool = pool(30_000, 100);
+            ConnectionPool pool = pool(30_000, 100);
             loop.execute(() -> {
                 pool.start(server.socketAddress(), request(server.socketAddress()), new byte[2], new Heard(heard));
                 double stoppedMs = loop.nowMs();
@@ -274,7 +274,7 @@
                     tell.await();
                     x.reply(200, "");
                 })) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             assertThat(post(pool, server.socketAddress())).as("there is a kept connection").isEqualTo("end");
             InetSocketAddress from = news.socketAddress();
             loop.execute(() -> pool.start(from, Requests.to(from, Methods.GET, "/"), new byte[0], new Heard(heard)));
@@ -324,7 +324,7 @@
     }
 
     /** Fails the first so many connections as the system says it; the later ones are made. */
-    private void failFirst(Pool pool, int count, Supplier<IOException> error) {
+    private void failFirst(ConnectionPool pool, int count, Supplier<IOException> error) {
         AtomicInteger made = new AtomicInteger();
         pool.connectBy(to -> made.getAndIncrement() < count ? new FailedIoFuture<>(error.get())
                 : loop.thread().openStreamConnection(to, null, OptionMap.EMPTY));
@@ -339,7 +339,7 @@
     @MethodSource("faultsOfThisMachine")
     void aFaultOfThisMachineThatPassesCostsNothing(IOException fault) throws Exception {
         try (StandIn server = World.reader()) {
-            Pool pool = pool(30_000, 2_000);
+            ConnectionPool pool = pool(30_000, 2_000);
             failFirst(pool, 3, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("end");
             assertThat(server.count("POST")).isEqualTo(1);
@@ -350,7 +350,7 @@
     @MethodSource("faultsOfThisMachine")
     void aFaultOfThisMachineThatLastsIsNotPutDownToTheFarSide(IOException fault) throws Exception {
         try (StandIn server = World.reader()) {
-            Pool pool = pool(30_000, 150);
+            ConnectionPool pool = pool(30_000, 150);
             failFirst(pool, Integer.MAX_VALUE, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("local fault");
             assertThat(pool.open()).isZero();
@@ -366,7 +366,7 @@
     @MethodSource("faultsOfTheFarSide")
     void whatTheFarSideRefusesIsToldAtOnce(IOException fault) throws Exception {
         try (StandIn server = World.reader()) {
-            Pool pool = pool(30_000, 20_000);
+            ConnectionPool pool = pool(30_000, 20_000);
             failFirst(pool, Integer.MAX_VALUE, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("never sent");
         }
@@ -380,7 +380,7 @@
             server.setReceiveBufferSize(4_096);
             server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
             InetSocketAddress at = (InetSocketAddress) server.getLocalSocketAddress();
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             CountDownLatch started = new CountDownLatch(1);
             AtomicReference<Call> call = new AtomicReference<>();
             loop.execute(() -> {
--- a/src/test/java/maplerail/net/EngineClientTest.java
+++ b/src/test/java/maplerail/net/EngineClientTest.java
@@ -32,9 +32,9 @@
     }
 
     private EngineClient client(StandIn engine, int connections) {
-        Pool pool = own.pool(30_000, CONNECT_TIMEOUT_MS, connections);
+        ConnectionPool pool = own.pool(30_000, CONNECT_TIMEOUT_MS, connections);
         EngineClient client = new EngineClient(pool);
-        client.addresses(Map.of(ENGINE, engine.socketAddress()));
+        client.addAddresses(Map.of(ENGINE, engine.socketAddress()));
         return client;
     }
 
--- a/src/test/java/maplerail/net/SlowAnswerTest.java
+++ b/src/test/java/maplerail/net/SlowAnswerTest.java
@@ -69,7 +69,7 @@
 
     /** What is heard of a call, up to its end. */
     private String call(StandIn server) throws Exception {
-        Pool pool = own.pool(30_000, 20_000, 50);
+        ConnectionPool pool = own.pool(30_000, 20_000, 50);
         InetSocketAddress to = server.socketAddress();
         ClientRequest request = Requests.to(to, Methods.POST, "/");
         request.getRequestHeaders().put(Headers.CONTENT_LENGTH, 2);
