--- a/src/main/java/maplerail/cli/Gateway.java
+++ b/src/main/java/maplerail/cli/Gateway.java
@@ -133,8 +133,8 @@
             watch.ask();
             if (tools != null) tools.start();
         });
-        server = listen(config.listen(), front, CLIENT_PERCENT, front::at);
-        if (rpc != null) rpcServer = listen(rpcListen, rpc, RPC_PERCENT, rpc::at);
+        server = listen(config.listen(), front, CLIENT_PERCENT, front::setListener);
+        if (rpc != null) rpcServer = listen(rpcListen, rpc, RPC_PERCENT, rpc::setListener);
         LOG.info("{} listens on {}", config.name(), address());
         tellSettings();
     }
@@ -241,7 +241,7 @@
     private void finish() {
         if (lifecycle.phase() == Phase.DRAINING) lifecycle.move(Phase.FINISHING);
         listeners.get(0).closeIdle();
-        if (listeners.get(0).busy() > 0 || remembered() > 0 || rpc != null && rpc.openRequests() > 0) {
+        if (listeners.get(0).activeConnections() > 0 || remembered() > 0 || rpc != null && rpc.openRequests() > 0) {
             loop.at(loop.nowMs() + LOOK_MS, this::finish);
             return;
         }
--- a/src/main/java/maplerail/front/ClientListener.java
+++ b/src/main/java/maplerail/front/ClientListener.java
@@ -325,7 +325,7 @@
     }
 
     /** Connections on which a request is open or on its way. */
-    public int busy() {
+    public int activeConnections() {
         return (int) tracked.entrySet().stream().filter(e -> e.getKey().isOpen() && BUSY.contains(e.getValue().state))
                 .count();
     }
--- a/src/main/java/maplerail/front/platform/PlatformFront.java
+++ b/src/main/java/maplerail/front/platform/PlatformFront.java
@@ -44,7 +44,7 @@
     }
 
     /** Tells through which listener the clients come. */
-    public void at(ClientListener in) {
+    public void setListener(ClientListener in) {
         listener = in;
     }
 
