--- a/src/main/java/maplerail/cli/Gateway.java
+++ b/src/main/java/maplerail/cli/Gateway.java
@@ -117,8 +117,8 @@
     }
 
     /** Requests of which anything is still remembered, at either front. */
-    public int remembered() {
-        return broker.remembered() + (tools == null ? 0 : tools.remembered());
+    public int trackedRequests() {
+        return broker.remembered() + (tools == null ? 0 : tools.trackedRequests());
     }
 
     /** Where it listens, once it does. */
@@ -233,7 +233,7 @@
             Phase phase = lifecycle.phase();
             if (phase != Phase.STARTING && phase != Phase.READY) return;
             lifecycle.move(Phase.DRAINING);
-            LOG.info("draining: {} requests open", remembered());
+            LOG.info("draining: {} requests open", trackedRequests());
             loop.at(loop.nowMs() + ARRIVING_MS, this::finish);
         });
     }
@@ -241,7 +241,7 @@
     private void finish() {
         if (lifecycle.phase() == Phase.DRAINING) lifecycle.move(Phase.FINISHING);
         listeners.get(0).closeIdle();
-        if (listeners.get(0).busy() > 0 || remembered() > 0 || rpc != null && rpc.openRequests() > 0) {
+        if (listeners.get(0).busy() > 0 || trackedRequests() > 0 || rpc != null && rpc.openRequests() > 0) {
             loop.at(loop.nowMs() + LOOK_MS, this::finish);
             return;
         }
--- a/src/main/java/maplerail/cli/ToolServices.java
+++ b/src/main/java/maplerail/cli/ToolServices.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import maplerail.Logic;
 import maplerail.Router;
-import maplerail.config.EngineIds;
+import maplerail.config.StableIds;
 import maplerail.config.EngineList;
 import maplerail.config.ToolsConfig;
 import maplerail.core.Quotas;
@@ -71,7 +71,7 @@
 
     private static EngineList listed(List<InetSocketAddress> servers) {
         Map<Long, InetSocketAddress> addresses = new HashMap<>();
-        for (InetSocketAddress server : servers) addresses.put(EngineIds.of(server.toString()), server);
+        for (InetSocketAddress server : servers) addresses.put(StableIds.ofEngine(server.toString()), server);
         return new EngineList(0, true, addresses.keySet().stream().sorted()
                 .map(id -> new Router.Member(id, Router.State.READY, 0, 0, 0, 1, 0)).toList(), addresses);
     }
@@ -81,7 +81,7 @@
         brokers.get(service).members(new Router.Members(Router.ListKind.WHOLE, list.version(), list.members()));
     }
 
-    int remembered() {
+    int trackedRequests() {
         return brokers.values().stream().mapToInt(Broker::remembered).sum();
     }
 }
--- a/src/main/java/maplerail/config/Address.java
+++ b/src/main/java/maplerail/config/Address.java
@@ -23,7 +23,7 @@
     }
 
     /** The address under a key of a configuration, which must hold one. */
-    public static InetSocketAddress need(Tree value) {
+    public static InetSocketAddress require(JsonValue value) {
         InetSocketAddress address = parse(value.text());
         if (address == null) throw new ConfigException(value.path() + ": not an address: '" + value.text() + "'");
         return address;
--- a/src/main/java/maplerail/config/EngineList.java
+++ b/src/main/java/maplerail/config/EngineList.java
@@ -13,13 +13,13 @@
     private static final int UNKNOWN_KIND = 255; // that the settings do not name
 
     /** Reads discovery's JSON. An entry that cannot be read is passed over, as one must not hide the others. */
-    public static EngineList read(Tree root, Names names) {
+    public static EngineList read(JsonValue root, NameTables names) {
         List<Router.Member> members = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new LinkedHashMap<>();
-        for (Tree host : root.need("hosts").list()) {
+        for (JsonValue host : root.require("hosts").list()) {
             String name = host.at("host").text("");
             if (name.isEmpty()) continue;
-            long id = EngineIds.of(name);
+            long id = StableIds.ofEngine(name);
             InetSocketAddress address = Address.parse(host.at("dial").text(null));
             Router.State state = state(host.at("health").text(""));
             if (state == Router.State.READY && address == null) continue;
@@ -29,7 +29,7 @@
                     (int) host.at("block").number(Router.Member.UNKNOWN_PLACE), host.at("share").number(1),
                     place(names.kinds(), host.at("class"), UNKNOWN_KIND)));
         }
-        return new EngineList((long) root.need("seq").atLeast(0), root.at("whole").flag(), List.copyOf(members),
+        return new EngineList((long) root.require("seq").atLeast(0), root.at("whole").flag(), List.copyOf(members),
                 Map.copyOf(addresses));
     }
 
@@ -42,7 +42,7 @@
         };
     }
 
-    private static int place(List<String> among, Tree name, int unknown) {
+    private static int place(List<String> among, JsonValue name, int unknown) {
         int at = among.indexOf(name.text(""));
         return at >= 0 ? at : unknown;
     }
--- a/src/main/java/maplerail/config/Tree.java
+++ b/src/main/java/maplerail/config/JsonValue.java
@@ -13,30 +13,30 @@
 import java.util.Map;
 
 /** A JSON value read by Jackson's streaming parser, which knows where it stands, so that errors name the key. */
-public final class Tree {
+public final class JsonValue {
     private static final JsonFactory JSON = JsonFactory.builder().streamReadConstraints(
             StreamReadConstraints.builder().maxNestingDepth(64).build()).build();
 
     private final String path;
     private final Object value;
 
-    private Tree(String path, Object value) {
+    private JsonValue(String path, Object value) {
         this.path = path;
         this.value = value;
     }
 
     /** Reads a text that holds one JSON object. {@code name} stands for it in errors. */
-    public static Tree object(String name, String text) {
-        Tree tree = any(name, text);
+    public static JsonValue parseObject(String name, String text) {
+        JsonValue tree = parse(name, text);
         if (!(tree.value instanceof Map)) throw new ConfigException(name + ": not a JSON object");
         return tree;
     }
 
     /** Reads a text that holds one JSON value. */
-    public static Tree any(String name, String text) {
+    public static JsonValue parse(String name, String text) {
         try (JsonParser parser = JSON.createParser(text)) {
             if (parser.nextToken() == null) throw new ConfigException(name + ": empty");
-            Tree tree = new Tree(name, read(parser));
+            JsonValue tree = new JsonValue(name, read(parser));
             if (parser.nextToken() != null) throw new ConfigException(name + ": not JSON: text after its end");
             return tree;
         } catch (JsonParseException e) {
@@ -88,20 +88,20 @@
     }
 
     /** The value under a key; one that is absent where there is none. */
-    public Tree at(String key) {
+    public JsonValue at(String key) {
         Object inner = value instanceof Map<?, ?> map ? map.get(key) : null;
-        return new Tree(path + "." + key, inner);
+        return new JsonValue(path + "." + key, inner);
     }
 
     /** The value at a place of a list. */
-    public Tree at(int place) {
+    public JsonValue at(int place) {
         boolean there = value instanceof List<?> list && place < list.size();
-        return new Tree(path + "[" + place + "]", there ? ((List<?>) value).get(place) : null);
+        return new JsonValue(path + "[" + place + "]", there ? ((List<?>) value).get(place) : null);
     }
 
     /** The value under a key, which must be there. */
-    public Tree need(String key) {
-        Tree inner = at(key);
+    public JsonValue require(String key) {
+        JsonValue inner = at(key);
         if (inner.value == null) throw new ConfigException(inner.path + ": missing");
         return inner;
     }
@@ -127,10 +127,10 @@
     }
 
     /** The elements of a list; none where there is nothing. */
-    public List<Tree> list() {
+    public List<JsonValue> list() {
         if (value == null) return List.of();
         if (!(value instanceof List<?> list)) throw new ConfigException(path + ": not a list");
-        List<Tree> out = new ArrayList<>();
+        List<JsonValue> out = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) out.add(at(i));
         return out;
     }
--- a/src/main/java/maplerail/config/SettingsReader.java
+++ b/src/main/java/maplerail/config/SettingsReader.java
@@ -13,28 +13,28 @@
 
     /** Reads the text of the settings. */
     public static Parsed read(long seed, String text) {
-        return read(seed, Tree.object("settings", text));
+        return read(seed, JsonValue.parseObject("settings", text));
     }
 
     /** Reads the settings from a larger text that holds them. */
-    public static Parsed read(long seed, Tree root) {
-        Tree family = root.need("familyInfo");
-        return new Parsed(new Router.Settings(seed, (int) root.need("balancers").atLeast(1),
-                (int) root.need("zone").atLeast(0), root.need("tickMs").positive(),
+    public static Parsed read(long seed, JsonValue root) {
+        JsonValue family = root.require("familyInfo");
+        return new Parsed(new Router.Settings(seed, (int) root.require("balancers").atLeast(1),
+                (int) root.require("zone").atLeast(0), root.require("tickMs").positive(),
                 "ask".equals(root.at("discovery").text("")), root.at("overShareWorth").atLeast(0, 1),
                 classes(root, family), tenants(root), kinds(family), limits(root, family), rules(root, family)),
                 memoryColumn(root));
     }
 
-    private static List<Router.RequestClass> classes(Tree root, Tree family) {
+    private static List<Router.RequestClass> classes(JsonValue root, JsonValue family) {
         List<Router.RequestClass> out = new ArrayList<>();
-        for (Tree lane : root.need("lanes").list()) {
+        for (JsonValue lane : root.require("lanes").list()) {
             int i = out.size();
             double aimUsPerK = family.at("aimUsPer1000PromptTokens").at(i).atLeast(0, 0);
-            Router.Repeat repeat = repeat(lane.need("repeat"));
-            Tree window = repeat == Router.Repeat.KEYED ? lane.need("keyTtlMs") : lane.at("keyTtlMs");
-            out.add(new Router.RequestClass(lane.need("goalTimeMs").positive(), aimUsPerK / 1e6,
-                    lane.need("deadlineMs").positive(), family.at("tokenAimMs").at(i).atLeast(0, 0),
+            Router.Repeat repeat = repeat(lane.require("repeat"));
+            JsonValue window = repeat == Router.Repeat.KEYED ? lane.require("keyTtlMs") : lane.at("keyTtlMs");
+            out.add(new Router.RequestClass(lane.require("goalTimeMs").positive(), aimUsPerK / 1e6,
+                    lane.require("deadlineMs").positive(), family.at("tokenAimMs").at(i).atLeast(0, 0),
                     lane.at("worth").atLeast(0, 1), lane.at("lateShare").atLeast(0, 0), repeat,
                     lane.at("keyScope").present() ? scope(lane.at("keyScope")) : Router.Scope.ALL,
                     window.atLeast(0, 0)));
@@ -44,7 +44,7 @@
     }
 
     /** The repeat rule that a word stands for. */
-    public static Router.Repeat repeat(Tree word) {
+    public static Router.Repeat repeat(JsonValue word) {
         return switch (word.text()) {
             case "pure" -> Router.Repeat.PURE;
             case "token" -> Router.Repeat.KEYED;
@@ -53,7 +53,7 @@
         };
     }
 
-    private static Router.Scope scope(Tree word) {
+    private static Router.Scope scope(JsonValue word) {
         return switch (word.text()) {
             case "all" -> Router.Scope.ALL;
             case "zone" -> Router.Scope.ZONE;
@@ -62,18 +62,18 @@
         };
     }
 
-    private static ConfigException unknown(Tree word) {
+    private static ConfigException unknown(JsonValue word) {
         return new ConfigException(word.path() + ": unknown value '" + word.text() + "'");
     }
 
-    private static List<Router.Tenant> tenants(Tree root) {
+    private static List<Router.Tenant> tenants(JsonValue root) {
         return root.at("parties").list().stream()
                 .map(party -> new Router.Tenant(party.at("quotaRps").atLeast(0, 0))).toList();
     }
 
-    private static List<Router.Kind> kinds(Tree family) {
+    private static List<Router.Kind> kinds(JsonValue family) {
         List<Router.Kind> out = new ArrayList<>();
-        for (Tree role : family.need("kindRole").list()) {
+        for (JsonValue role : family.require("kindRole").list()) {
             Router.Role known = switch (role.text()) {
                 case "read" -> Router.Role.READ;
                 case "write" -> Router.Role.WRITE;
@@ -86,23 +86,23 @@
         return List.copyOf(out);
     }
 
-    private static Router.Limits limits(Tree root, Tree family) {
-        Tree limits = root.need("limits");
-        return new Router.Limits((int) limits.need("sendCap").atLeast(1), limits.at("cancel").flagOrAbsent(),
+    private static Router.Limits limits(JsonValue root, JsonValue family) {
+        JsonValue limits = root.require("limits");
+        return new Router.Limits((int) limits.require("sendCap").atLeast(1), limits.at("cancel").flagOrAbsent(),
                 limits.at("secondCopies").flagOrAbsent(), limits.at("retryAfter").flagOrAbsent(),
                 limits.at("maxRetryAfterMs").atLeast(0, 0), family.at("readInPlace").flagOrAbsent());
     }
 
-    private static Router.Rules rules(Tree root, Tree family) {
-        Tree rules = root.need("rules");
-        return new Router.Rules(rules.at("answerSlackMs").atLeast(0, 0), family.need("pinLimitMs").positive(),
-                rules.need("startCapacity").atLeast(0), rules.need("tipMultiple").positive(),
-                rules.need("overloadForMs").atLeast(0), rules.need("warmAfterMs").atLeast(0),
+    private static Router.Rules rules(JsonValue root, JsonValue family) {
+        JsonValue rules = root.require("rules");
+        return new Router.Rules(rules.at("answerSlackMs").atLeast(0, 0), family.require("pinLimitMs").positive(),
+                rules.require("startCapacity").atLeast(0), rules.require("tipMultiple").positive(),
+                rules.require("overloadForMs").atLeast(0), rules.require("warmAfterMs").atLeast(0),
                 rules.at("mustAskInMs").atLeast(0, 0));
     }
 
-    private static int memoryColumn(Tree root) {
-        List<Tree> columns = root.at("stats").at("columns").list();
+    private static int memoryColumn(JsonValue root) {
+        List<JsonValue> columns = root.at("stats").at("columns").list();
         for (int i = 0; i < columns.size(); i++) {
             if ("x0".equals(columns.get(i).text(""))) return i;
         }
--- a/src/main/java/maplerail/discovery/BlockingQuery.java
+++ b/src/main/java/maplerail/discovery/BlockingQuery.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 import maplerail.config.ConfigException;
-import maplerail.config.Tree;
+import maplerail.config.JsonValue;
 import maplerail.net.Call;
 import maplerail.net.Pool;
 import maplerail.net.Requests;
@@ -26,11 +26,11 @@
     private final XnioLoop loop;
     private InetSocketAddress at;
     private final String path;
-    private final Consumer<Tree> news;
+    private final Consumer<JsonValue> news;
     private long index;
     private double againMs = FIRST_AGAIN_MS;
 
-    BlockingQuery(Pool pool, XnioLoop loop, InetSocketAddress at, String path, Consumer<Tree> news) {
+    BlockingQuery(Pool pool, XnioLoop loop, InetSocketAddress at, String path, Consumer<JsonValue> news) {
         this.pool = pool;
         this.loop = loop;
         this.at = at;
@@ -76,7 +76,7 @@
             if (!asked.equals(at)) return true;
             try {
                 if (status != 200) throw new ConfigException("status " + status);
-                Tree answer = Tree.any(path, text);
+                JsonValue answer = JsonValue.parse(path, text);
                 long before = index;
                 index = next(before, headers.getFirst("X-Consul-Index"));
                 // A wait that ended without news repeats the index.
--- a/src/main/java/maplerail/discovery/ConsulWatch.java
+++ b/src/main/java/maplerail/discovery/ConsulWatch.java
@@ -11,9 +11,9 @@
 import java.util.function.Consumer;
 import maplerail.Router;
 import maplerail.config.Address;
-import maplerail.config.EngineIds;
+import maplerail.config.StableIds;
 import maplerail.config.EngineList;
-import maplerail.config.Tree;
+import maplerail.config.JsonValue;
 import maplerail.net.Pool;
 import maplerail.net.XnioLoop;
 
@@ -54,7 +54,7 @@
         queries.forEach(query -> query.move(to));
     }
 
-    private void query(String path, Consumer<Tree> told) {
+    private void query(String path, Consumer<JsonValue> told) {
         BlockingQuery query = new BlockingQuery(pool, loop, at, path, told);
         queries.add(query);
         query.ask();
@@ -65,16 +65,16 @@
     }
 
     /** The servers in an answer of the health API; one with a critical check gets nothing new. */
-    static EngineList read(Tree answer, long version) {
+    static EngineList read(JsonValue answer, long version) {
         List<Router.Member> members = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new HashMap<>();
-        for (Tree entry : answer.list()) {
-            Tree service = entry.at("Service");
+        for (JsonValue entry : answer.list()) {
+            JsonValue service = entry.at("Service");
             String host = service.at("Address").text("");
             if (host.isEmpty()) host = entry.at("Node").at("Address").text("");
             InetSocketAddress address = Address.parse(host + ":" + (long) service.at("Port").number(0));
             if (address == null || address.getPort() == 0) continue;
-            long id = EngineIds.of(entry.at("Node").at("Node").text("") + "/" + service.at("ID").text(host));
+            long id = StableIds.ofEngine(entry.at("Node").at("Node").text("") + "/" + service.at("ID").text(host));
             boolean critical = entry.at("Checks").list().stream()
                     .anyMatch(check -> !Set.of("passing", "warning").contains(check.at("Status").text("")));
             addresses.put(id, address);
--- a/src/main/java/maplerail/discovery/PlatformWatch.java
+++ b/src/main/java/maplerail/discovery/PlatformWatch.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 import maplerail.config.ConfigException;
 import maplerail.config.EngineList;
-import maplerail.config.Names;
-import maplerail.config.Tree;
+import maplerail.config.NameTables;
+import maplerail.config.JsonValue;
 import maplerail.net.Call;
 import maplerail.net.Pool;
 import maplerail.net.Requests;
@@ -34,7 +34,7 @@
     private final Pool pool;
     private final XnioLoop loop;
     private InetSocketAddress at;
-    private final Names names;
+    private final NameTables names;
     private final Consumer<EngineList> news;
     private final BackOff backOff;
     private String trouble = "";
@@ -44,7 +44,7 @@
     private double doubtUntilMs = Double.NEGATIVE_INFINITY;
 
     /** Makes a watch that tells each piece of news, for one of so many nodes. */
-    public PlatformWatch(Pool pool, XnioLoop loop, InetSocketAddress at, Names names, int nodes, long seed,
+    public PlatformWatch(Pool pool, XnioLoop loop, InetSocketAddress at, NameTables names, int nodes, long seed,
             Consumer<EngineList> news) {
         this.pool = pool;
         this.loop = loop;
@@ -116,7 +116,7 @@
             }
             EngineList list;
             try {
-                list = EngineList.read(Tree.object("list", text), names);
+                list = EngineList.read(JsonValue.parseObject("list", text), names);
             } catch (ConfigException e) {
                 tell(e.getMessage());
                 if (asked.equals(at)) version = -1;
--- a/src/main/java/maplerail/front/jsonrpc/RpcFront.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcFront.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import maplerail.config.Names;
+import maplerail.config.NameTables;
 import maplerail.config.ToolsConfig;
 import maplerail.core.Broker;
 import maplerail.core.Lifecycle;
@@ -35,7 +35,7 @@
     private ClientListener listener;
 
     /** Makes a front before the platform's broker and one broker for each service of tools. */
-    public RpcFront(ToolsConfig config, Map<String, Broker> services, Broker platform, Names names,
+    public RpcFront(ToolsConfig config, Map<String, Broker> services, Broker platform, NameTables names,
             Lifecycle lifecycle) {
         this.config = config;
         this.tools = new Tools(config, services);
--- a/src/main/java/maplerail/front/jsonrpc/RpcMessage.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcMessage.java
@@ -37,6 +37,6 @@
             throw new Malformed(params.startsWith("[") ? RpcError.PARAMS.answer(known, "by name, please", "")
                     : RpcError.INVALID.answer(known, "params", ""));
         }
-        return new RpcMessage(id, maplerail.config.Tree.any("method", method).text(), params);
+        return new RpcMessage(id, maplerail.config.JsonValue.parse("method", method).text(), params);
     }
 }
--- a/src/main/java/maplerail/front/jsonrpc/Session.java
+++ b/src/main/java/maplerail/front/jsonrpc/Session.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import maplerail.config.ConfigException;
 import maplerail.config.Json;
-import maplerail.config.Tree;
+import maplerail.config.JsonValue;
 import maplerail.core.Caller;
 import maplerail.core.RequestHandle;
 
@@ -178,7 +178,7 @@
         }
     }
 
-    static Tree params(RpcMessage message) {
-        return Tree.object("params", message.params());
+    static JsonValue params(RpcMessage message) {
+        return JsonValue.parseObject("params", message.params());
     }
 }
--- a/src/main/java/maplerail/front/jsonrpc/Tools.java
+++ b/src/main/java/maplerail/front/jsonrpc/Tools.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import maplerail.config.ConfigException;
 import maplerail.config.Json;
-import maplerail.config.Tree;
+import maplerail.config.JsonValue;
 import maplerail.config.ToolsConfig;
 import maplerail.core.ServiceRequest;
 import maplerail.core.Broker;
@@ -26,30 +26,30 @@
     }
 
     RequestHandle call(RpcMessage message, int team, Session.Pending pending) {
-        Tree params = Session.params(message);
-        String name = params.need("name").text();
+        JsonValue params = Session.params(message);
+        String name = params.require("name").text();
         ToolsConfig.Tool tool = config.tools().get(name);
         if (tool == null) throw new ConfigException("params.name: unknown tool '" + name + "'");
         if (params.at("arguments").present() && !params.at("arguments").isObject()) {
             throw new ConfigException("params.arguments: not an object");
         }
         String arguments = Json.fields(message.params()).getOrDefault("arguments", "{}");
-        ToolsConfig.Contract contract = config.contracts().get(tool.contract());
+        ToolsConfig.Contract contract = config.contracts().get(tool.contractIndex());
         String id = UUID.randomUUID().toString();
         byte[] body = ("{\"jsonrpc\":\"2.0\",\"id\":" + Json.quote(id)
                 + ",\"method\":\"tools/call\",\"params\":{\"name\":"
                 + Json.quote(name) + ",\"arguments\":" + arguments + "}}").getBytes(StandardCharsets.UTF_8);
         int size = arguments.getBytes(StandardCharsets.UTF_8).length;
-        ServiceRequest request = new ServiceRequest(id, tool.contract(), team, 0, size / TOKEN_BYTES, 0, 0,
+        ServiceRequest request = new ServiceRequest(id, tool.contractIndex(), team, 0, size / TOKEN_BYTES, 0, 0,
                 contract.deadlineMs(),
-                contract.mostReply() / TOKEN_BYTES, 0, false, size,
-                new ToolPayload(config.services().get(tool.service()).path(), body, contract.mostReply()));
+                contract.maxReplyBytes() / TOKEN_BYTES, 0, false, size,
+                new ToolPayload(config.services().get(tool.service()).path(), body, contract.maxReplyBytes()));
         return services.get(tool.service()).take(request, new ToolCaller(pending));
     }
 
     String list() {
         return config.tools().entrySet().stream().map(tool -> "{\"name\":" + Json.quote(tool.getKey())
-                + ",\"contract\":" + Json.quote(config.contracts().get(tool.getValue().contract()).name()) + "}")
+                + ",\"contract\":" + Json.quote(config.contracts().get(tool.getValue().contractIndex()).name()) + "}")
                 .collect(Collectors.joining(",", "{\"tools\":[", "]}"));
     }
 }
--- a/src/main/java/maplerail/front/platform/PlatformFront.java
+++ b/src/main/java/maplerail/front/platform/PlatformFront.java
@@ -7,7 +7,7 @@
 import io.undertow.util.Headers;
 import io.undertow.util.Methods;
 import io.undertow.util.SameThreadExecutor;
-import maplerail.config.Names;
+import maplerail.config.NameTables;
 import maplerail.core.ServiceRequest;
 import maplerail.core.Broker;
 import maplerail.core.Caller;
@@ -35,7 +35,7 @@
     private ClientListener listener;
 
     /** Makes a front for clients that name classes and tenants so, and wait for so long at most. */
-    public PlatformFront(Broker broker, Names names, Lifecycle lifecycle, Loop loop, double longestDeadlineMs) {
+    public PlatformFront(Broker broker, NameTables names, Lifecycle lifecycle, Loop loop, double longestDeadlineMs) {
         this.broker = broker;
         this.reader = new RequestReader(names);
         this.lifecycle = lifecycle;
--- a/src/main/java/maplerail/front/platform/RequestReader.java
+++ b/src/main/java/maplerail/front/platform/RequestReader.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import maplerail.config.EngineIds;
-import maplerail.config.Names;
+import maplerail.config.StableIds;
+import maplerail.config.NameTables;
 import maplerail.core.ServiceRequest;
 import maplerail.net.HttpPayload;
 
@@ -24,9 +24,9 @@
             Headers.TRANSFER_ENCODING, Headers.EXPECT, Headers.UPGRADE, Headers.TE, Headers.TRAILER,
             new HttpString("Keep-Alive"), new HttpString("Req-Deadline"));
 
-    private final Names names;
+    private final NameTables names;
 
-    RequestReader(Names names) {
+    RequestReader(NameTables names) {
         this.names = names;
     }
 
@@ -49,11 +49,11 @@
         double budgetMs = budgetMs(exchange);
         Map<String, String> extra = extra(exchange.getRequestHeaders().getFirst("Req-Extra"));
         double prompt = tokens(extra, "prompt_len", body.length / TOKEN_BYTES);
-        long prefix = EngineIds.key(extra.get("prefix"));
+        long prefix = StableIds.ofKey(extra.get("prefix"));
         double most = tokens(extra, "max_out", 0);
         String hint = exchange.getRequestHeaders().getFirst("Req-Cost");
         boolean again = "again".equals(exchange.getRequestHeaders().getFirst("Req-Retry"));
-        return new ServiceRequest(id, kind, tenant, EngineIds.key(exchange.getRequestHeaders().getFirst("Req-Key")),
+        return new ServiceRequest(id, kind, tenant, StableIds.ofKey(exchange.getRequestHeaders().getFirst("Req-Key")),
                 prompt,
                 prefix, prefix == 0 ? 0 : tokens(extra, "prefix_len", 0), budgetMs, most,
                 hint == null ? 0 : number(hint, "Req-Cost", MOST_S * 1_000), again, body.length,
--- a/src/main/java/maplerail/net/EngineClient.java
+++ b/src/main/java/maplerail/net/EngineClient.java
@@ -15,7 +15,7 @@
 import java.util.function.Consumer;
 import maplerail.Router.Outcome;
 import maplerail.config.ConfigException;
-import maplerail.config.Tree;
+import maplerail.config.JsonValue;
 import maplerail.core.ServiceRequest;
 import maplerail.core.Engines;
 
@@ -122,7 +122,7 @@
         private double kept() {
             if (meaning != Outcome.READ) return 0;
             try {
-                return Tree.any("read", text.toString(StandardCharsets.UTF_8)).at("cached_tokens").number(0);
+                return JsonValue.parse("read", text.toString(StandardCharsets.UTF_8)).at("cached_tokens").number(0);
             } catch (ConfigException e) {
                 return 0;
             }
--- a/src/test/java/maplerail/KeyedRepeatTest.java
+++ b/src/test/java/maplerail/KeyedRepeatTest.java
@@ -17,8 +17,8 @@
 import maplerail.Router.Send;
 import maplerail.Router.State;
 import maplerail.config.EngineList;
-import maplerail.config.Names;
-import maplerail.config.Tree;
+import maplerail.config.NameTables;
+import maplerail.config.JsonValue;
 import org.junit.jupiter.api.Test;
 
 /** Guards against keyed work that goes on outside the group or the window of what may have run. */
@@ -140,8 +140,8 @@
                         + "\",\"dial\":\"127.0.0.1:9\",\"site\":\"x\","
                         + "\"class\":\"" + kind + "\",\"health\":\"in_service\",\"share\":1.0,\"born_ms\":0}";
             }
-            Names names = new Names(List.of("east"), List.of("prefill", "decode"), List.of("ask"), List.of());
-            EngineList list = EngineList.read(Tree.any("list", "{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts + "]}"),
+            NameTables names = new NameTables(List.of("east"), List.of("prefill", "decode"), List.of("ask"), List.of());
+            EngineList list = EngineList.read(JsonValue.parse("list", "{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts + "]}"),
                     names);
             Node node = node(scope).start(list.members().toArray(Member[]::new));
             node.arrive(1);
--- a/src/test/java/maplerail/discovery/ConsulTest.java
+++ b/src/test/java/maplerail/discovery/ConsulTest.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import maplerail.Router.State;
-import maplerail.config.EngineIds;
+import maplerail.config.StableIds;
 import maplerail.config.EngineList;
 import maplerail.config.Json;
-import maplerail.config.Names;
-import maplerail.config.Tree;
+import maplerail.config.NameTables;
+import maplerail.config.JsonValue;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -23,7 +23,7 @@
     @CsvSource({"passing,passing,READY", "passing,warning,READY", "passing,critical,DRAINING",
             "maintenance,passing,DRAINING", "passing,unheard,DRAINING"})
     void aServerIsCalledWhileNoCheckIsCritical(String one, String two, State state) {
-        EngineList list = ConsulWatch.read(Tree.any("health", """
+        EngineList list = ConsulWatch.read(JsonValue.parse("health", """
                 [{"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":"r1","Address":"","Port":80},
                   "Checks":[{"Status":"%s"},{"Status":"%s"}]},
                  {"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":"no-port"}}]""".formatted(one, two)), 1);
@@ -33,9 +33,9 @@
     }
 
     private static EngineList platform(String dial, String health) {
-        Names names = new Names(java.util.List.of("caerdydd"), java.util.List.of("prefill"), java.util.List.of(),
+        NameTables names = new NameTables(java.util.List.of("caerdydd"), java.util.List.of("prefill"), java.util.List.of(),
                 java.util.List.of());
-        return EngineList.read(Tree.object("list", """
+        return EngineList.read(JsonValue.parseObject("list", """
                 {"seq":4,"whole":false,"hosts":[{"host":"s-5be2a07c","dial":"%s","site":"caerdydd","class":"prefill",
                  "block":3,"health":"%s","share":1.5,"born_ms":12}]}""".formatted(dial, health)), names);
     }
@@ -45,7 +45,7 @@
         EngineList here = platform("127.0.0.1:80", "in_service");
         EngineList there = platform("127.0.0.2:81", "in_service");
         assertThat(here.members()).isEqualTo(there.members());
-        assertThat(here.members().get(0).engine()).isEqualTo(EngineIds.of("s-5be2a07c"));
+        assertThat(here.members().get(0).engine()).isEqualTo(StableIds.ofEngine("s-5be2a07c"));
         assertThat(here.members().get(0).zone()).isZero();
     }
 
@@ -58,8 +58,8 @@
     @ParameterizedTest
     @CsvSource({"7f3a9c21e0b4d655,9167811660783867477", "ff,255", "'',0"})
     void aKeyOfHexDigitsIsItsNumber(String text, long key) {
-        assertThat(EngineIds.key(text)).isEqualTo(key);
-        assertThat(EngineIds.key("chat/" + text)).isNotEqualTo(key);
+        assertThat(StableIds.ofKey(text)).isEqualTo(key);
+        assertThat(StableIds.ofKey("chat/" + text)).isNotEqualTo(key);
     }
 
     @ParameterizedTest
--- a/src/test/java/maplerail/discovery/PlatformWatchTest.java
+++ b/src/test/java/maplerail/discovery/PlatformWatchTest.java
@@ -204,7 +204,7 @@
             try (Socket early = world.connect()) {
                 String closing = request("a1", "lookup", "5.0").replaceFirst("\r\n", "\r\nConnection: close\r\n");
                 early.getOutputStream().write(closing.getBytes(StandardCharsets.UTF_8));
-                await("taken", () -> world.gateway.remembered() == 1);
+                await("taken", () -> world.gateway.trackedRequests() == 1);
                 asked.reply(200, "{\"seq\":9,\"whole\":false,\"hosts\":[" + host("r1", draining, "terminating") + ","
                         + host("r2", started, "in_service") + "]}");
                 assertThat(World.readAll(early.getInputStream())).startsWith("HTTP/1.1 200");
--- a/src/test/java/maplerail/front/PlatformTest.java
+++ b/src/test/java/maplerail/front/PlatformTest.java
@@ -26,7 +26,7 @@
                     .endsWith("0\r\n\r\n");
             assertThat(reader.seen).containsExactly("POST /v1/chat/completions?x=%41");
             assertThat(writer.seen).containsExactly("POST /v1/chat/completions?x=%41");
-            await("nothing remembered", () -> world.gateway.remembered() == 0);
+            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
         }
     }
 
@@ -84,7 +84,7 @@
     @Test
     void whatTheModuleGivesUpOnIsRefusedWithAdvice() throws Exception {
         try (World world = new World().start()) {
-            assertThat(world.gateway.remembered()).isZero();
+            assertThat(world.gateway.trackedRequests()).isZero();
             try (StandIn drained = World.reader()) {
                 world.engine("r", "prefill", drained, "terminating");
                 await("ready", () -> status(world, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").contains(" 200 "));
@@ -131,7 +131,7 @@
                         .engine("w2", "decode", other).start()) {
             assertThat(world.exchange(request("a1", kind, "5.0"))).startsWith("HTTP/1.1 " + status);
             assertThat(writer.count("POST") + other.count("POST")).isEqualTo(sends);
-            await("nothing remembered", () -> world.gateway.remembered() == 0);
+            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
             if (status == 502) await("the state let go", () -> reader.count("DELETE /internal/reservations/a1") > 0);
         }
     }
@@ -219,7 +219,7 @@
                 assertThat(reader.count("POST") + other.count("POST")).isEqualTo(i);
             }
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
-            await("nothing remembered", () -> world.gateway.remembered() == 0);
+            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
         }
     }
 
@@ -254,7 +254,7 @@
             client.close();
             assertThat(take(ended)).isEqualTo("a1");
             await("the state let go", () -> reader.count("DELETE /internal/reservations/a1") > 0);
-            await("nothing remembered", () -> world.gateway.remembered() == 0);
+            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
         }
     }
 
@@ -367,7 +367,7 @@
                 client.getOutputStream().write(early.toString().getBytes(StandardCharsets.UTF_8));
             }
             assertThat(take(ended)).isEqualTo("a1");
-            await("nothing remembered", () -> world.gateway.remembered() == 0);
+            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
             assertThat(reader.count("POST")).isEqualTo(1);
         }
     }
--- a/src/test/java/maplerail/front/ToolCallTest.java
+++ b/src/test/java/maplerail/front/ToolCallTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.atomic.AtomicInteger;
-import maplerail.config.Tree;
+import maplerail.config.JsonValue;
 import maplerail.support.StandIn;
 import maplerail.support.World;
 import org.junit.jupiter.api.Test;
@@ -25,7 +25,7 @@
 
     /** A client: what it hears, and how many final answers came for an id. */
     private static final class Client implements WebSocket.Listener {
-        final BlockingQueue<Tree> answers = World.queue();
+        final BlockingQueue<JsonValue> answers = World.queue();
         final BlockingQueue<String> events = World.queue();
         final StringBuilder part = new StringBuilder();
         final AtomicInteger answered = new AtomicInteger();
@@ -44,7 +44,7 @@
         public CompletionStage<?> onText(WebSocket from, CharSequence text, boolean last) {
             part.append(text);
             if (last) {
-                Tree message = Tree.object("message", part.toString());
+                JsonValue message = JsonValue.parseObject("message", part.toString());
                 if (message.at("method").present()) {
                     events.add(message.at("params").at("data").text());
                 } else {
@@ -72,7 +72,7 @@
                     + "\"deadline_ms\":5000,\"max_out\":100,\"body\":{\"stream\":true}}}");
         }
 
-        Tree answer() throws InterruptedException {
+        JsonValue answer() throws InterruptedException {
             return take(answers);
         }
     }
@@ -134,7 +134,7 @@
             assertThat(client.answer().at("id").number()).isEqualTo(1);
             assertThat(client.answered).hasValue(2);
             assertThat(tool.count("POST /tool")).isEqualTo(1);
-            await("nothing remembered", () -> world.gateway.remembered() == 0);
+            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
         }
     }
 
@@ -180,7 +180,7 @@
             take(calls);
             client.socket.abort();
             take(ended);
-            await("nothing remembered", () -> world.gateway.remembered() == 0);
+            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
             assertThat(effects).hasValue(1);
             assertThat(client.answered).hasValue(0);
         }
@@ -196,10 +196,10 @@
         try (StandIn one = new StandIn(reset); StandIn two = new StandIn(reset); World world = world(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
-            Tree error = client.answer().at("error");
+            JsonValue error = client.answer().at("error");
             assertThat(error.at("code").number()).isEqualTo(-32001);
             assertThat(error.at("data").at("mayHaveRun").flag()).isTrue();
-            await("nothing remembered", () -> world.gateway.remembered() == 0);
+            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
             assertThat(effects).hasValue(1);
             assertThat(client.answered).hasValue(1);
         }
@@ -242,7 +242,7 @@
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             assertThat(client.answer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
-            await("nothing remembered", () -> world.gateway.remembered() == 0);
+            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
             assertThat(tool.count("POST")).isEqualTo(1);
         }
     }
@@ -256,7 +256,7 @@
             client.call(1, "columns.find");
             StandIn.Exchange first = take(calls);
             client.call(2, "columns.find");
-            Tree refused = client.answer();
+            JsonValue refused = client.answer();
             assertThat(refused.at("id").number()).isEqualTo(2);
             assertThat(refused.at("error").at("code").number()).isEqualTo(-32000);
             assertThat(refused.at("error").at("data").at("retryAfterMs").number()).isPositive();
@@ -287,13 +287,13 @@
             client.call(1, "orders.raise");
             StandIn.Exchange call = take(calls);
             client.call(1, "orders.raise");
-            Tree duplicate = client.answer();
+            JsonValue duplicate = client.answer();
             assertThat(duplicate.at("id").present()).isFalse();
             assertThat(duplicate.at("error").at("data").at("duplicateId").number()).isEqualTo(1);
             client.say("{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":1}}");
             assertThat(client.answer().at("error").at("code").number()).isEqualTo(-32003);
             call.awaitEnd();
-            await("nothing remembered", () -> world.gateway.remembered() == 0);
+            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
             assertThat(tool.count("POST")).isEqualTo(1);
         }
     }
