--- a/src/main/java/maplerail/cli/Gateway.java
+++ b/src/main/java/maplerail/cli/Gateway.java
@@ -117,8 +117,8 @@
     }
 
     /** Requests of which anything is still remembered, at either front. */
-    public int remembered() {
-        return broker.retainedRequests() + (tools == null ? 0 : tools.remembered());
+    public int trackedRequests() {
+        return broker.retainedRequests() + (tools == null ? 0 : tools.trackedRequests());
     }
 
     /** Where it listens, once it does. */
@@ -233,7 +233,7 @@
             Phase phase = lifecycle.phase();
             if (phase != Phase.STARTING && phase != Phase.READY) return;
             lifecycle.moveTo(Phase.DRAINING);
-            LOG.info("draining: {} requests open", remembered());
+            LOG.info("draining: {} requests open", trackedRequests());
             loop.schedule(loop.nowMs() + ARRIVING_MS, this::finish);
         });
     }
@@ -241,7 +241,7 @@
     private void finish() {
         if (lifecycle.phase() == Phase.DRAINING) lifecycle.moveTo(Phase.FINISHING);
         listeners.get(0).closeIdle();
-        if (listeners.get(0).activeConnections() > 0 || remembered() > 0 || rpc != null && rpc.openRequests() > 0) {
+        if (listeners.get(0).activeConnections() > 0 || trackedRequests() > 0 || rpc != null && rpc.openRequests() > 0) {
             loop.schedule(loop.nowMs() + LOOK_MS, this::finish);
             return;
         }
