--- a/src/main/java/maplerail/Router.java
+++ b/src/main/java/maplerail/Router.java
@@ -69,7 +69,8 @@
     record FirstToken(long id, int attempt, long engine, double spentMs) implements Event {}
 
     /** An attempt is over; {@code cachedTokens} is the part of the prompt that needed no reading, NaN if it is not told. */
-    record Ended(long id, int attempt, long engine, Outcome outcome, double spentMs, double cachedTokens, boolean requestClosed,
+    record Ended(long id, int attempt, long engine, Outcome outcome, double spentMs, double cachedTokens,
+            boolean requestClosed,
             Load load) implements Event {}
 
     /** Nobody waits for the request any more. */
@@ -173,6 +174,7 @@
      * What the module is told at the start of its life. All its draws come from {@code seed}, which should differ
      * from node to node. An {@code overSharePriorityFactor} of 1 makes shares idle.
      */
-    record Settings(long seed, int nodeCount, int zone, double tickMs, boolean mustSubscribe, double overSharePriorityFactor,
+    record Settings(long seed, int nodeCount, int zone, double tickMs, boolean mustSubscribe,
+            double overSharePriorityFactor,
             List<RequestClass> classes, List<Tenant> tenants, List<Kind> kinds, Limits limits, Rules rules) {}
 }
--- a/src/main/java/maplerail/cli/Gateway.java
+++ b/src/main/java/maplerail/cli/Gateway.java
@@ -88,7 +88,8 @@
         boolean on = toolsConfig != null;
         int sockets = config.wire().sockets();
         int tooling = on ? sockets * (RPC_PERCENT + TOOLS_PERCENT) / 100 : 0;
-        ConnectionPool pool = new ConnectionPool(loop, buffers, config.wire().connIdleMs(), config.wire().connectTimeoutMs(),
+        ConnectionPool pool = new ConnectionPool(loop, buffers, config.wire().connIdleMs(),
+                config.wire().connectTimeoutMs(),
                 sockets - OWN_SOCKETS - sockets * CLIENT_PERCENT / 100 - tooling);
         engines = new EngineClient(pool);
         Router.Settings settings = config.settings();
@@ -241,7 +242,8 @@
     private void finish() {
         if (lifecycle.phase() == Phase.DRAINING) lifecycle.moveTo(Phase.FINISHING);
         listeners.get(0).closeIdle();
-        if (listeners.get(0).activeConnections() > 0 || trackedRequests() > 0 || rpc != null && rpc.openRequests() > 0) {
+        if (listeners.get(0).activeConnections() > 0 || trackedRequests() > 0
+                || rpc != null && rpc.openRequests() > 0) {
             loop.schedule(loop.nowMs() + LOOK_MS, this::finish);
             return;
         }
--- a/src/main/java/maplerail/config/ToolsConfig.java
+++ b/src/main/java/maplerail/config/ToolsConfig.java
@@ -17,7 +17,8 @@
     public record Service(String path, List<InetSocketAddress> servers) {}
 
     /** What is promised and asked for calls of a class. */
-    public record Contract(String name, Router.Repeat repeat, double deadlineMs, int maxArgumentBytes, int maxReplyBytes) {}
+    public record Contract(String name, Router.Repeat repeat, double deadlineMs, int maxArgumentBytes,
+            int maxReplyBytes) {}
 
     /** A tool: which service has it, and the place of its contract. */
     public record Tool(String service, int contractIndex) {}
@@ -70,7 +71,8 @@
     }
 
     private static Contract contract(String name, JsonValue tree) {
-        return new Contract(name, SettingsReader.repeat(tree.require("repeat")), above(tree.require("deadline_ms"), 600_000),
+        return new Contract(name, SettingsReader.repeat(tree.require("repeat")),
+                above(tree.require("deadline_ms"), 600_000),
                 (int) above(tree.require("most_argument_bytes"), 256 * 1024),
                 (int) above(tree.require("most_reply_bytes"), 1024 * 1024));
     }
--- a/src/main/java/maplerail/core/AttemptRunner.java
+++ b/src/main/java/maplerail/core/AttemptRunner.java
@@ -33,7 +33,8 @@
     private DecisionLoop decisions;
     private Consumer<ActiveRequest> gone;
 
-    AttemptRunner(EngineTransport engines, Loop loop, Fleet fleet, RequestRegistry registry, HeldStates held, Relay relay,
+    AttemptRunner(EngineTransport engines, Loop loop, Fleet fleet, RequestRegistry registry, HeldStates held,
+            Relay relay,
             Router.Settings settings, RuleMonitor monitor, ServiceCounters counters, FailureLog failureLog,
             Consumer<String> log) {
         this.engines = engines;
--- a/src/main/java/maplerail/core/EngineTransport.java
+++ b/src/main/java/maplerail/core/EngineTransport.java
@@ -10,7 +10,8 @@
      * Makes one attempt. The answer hears exactly one {@code ended}, never before this call returns. An attempt that
      * had to wait for its connection asks whether it may still begin right before its first byte is written.
      */
-    AttemptHandle send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin, AnswerListener answer);
+    AttemptHandle send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
+            AnswerListener answer);
 
     /** Lets go of what an engine holds for a request, trying again up to a time; tells once how that ended. */
     void release(long engine, String id, double untilMs, Consumer<ReleaseResult> ended);
--- a/src/main/java/maplerail/discovery/PlatformWatch.java
+++ b/src/main/java/maplerail/discovery/PlatformWatch.java
@@ -44,7 +44,8 @@
     private double doubtUntilMs = Double.NEGATIVE_INFINITY;
 
     /** Makes a watch that tells each piece of news, for one of so many nodes. */
-    public PlatformWatch(ConnectionPool pool, XnioLoop loop, InetSocketAddress at, NameTables names, int nodes, long seed,
+    public PlatformWatch(ConnectionPool pool, XnioLoop loop, InetSocketAddress at, NameTables names, int nodes,
+            long seed,
             Consumer<EngineList> news) {
         this.pool = pool;
         this.loop = loop;
--- a/src/main/java/maplerail/front/ClientListener.java
+++ b/src/main/java/maplerail/front/ClientListener.java
@@ -299,7 +299,8 @@
     private int end(State state, double leastMs, int atMost, double now) {
         List<StreamConnection> longest = tracked.entrySet().stream()
                 .filter(e -> e.getValue().state == state
-                        && ProtocolRules.checkClose(false, now - e.getValue().quietSinceMs(), leastMs) == Reason.ALLOWED)
+                        && ProtocolRules.checkClose(false, now - e.getValue().quietSinceMs(),
+                                leastMs) == Reason.ALLOWED)
                 .sorted((a, b) -> Double.compare(a.getValue().quietSinceMs(), b.getValue().quietSinceMs()))
                 .limit(Math.max(0, atMost)).map(Map.Entry::getKey).toList();
         longest.forEach(this::turnOutIfQuiet);
--- a/src/main/java/maplerail/net/ConnectionPool.java
+++ b/src/main/java/maplerail/net/ConnectionPool.java
@@ -191,7 +191,8 @@
         connectingInAll++;
         IoFuture<StreamConnection> coming = connector.connect(to);
         // Called off, it is closed: one that never comes up would hold a descriptor for minutes.
-        call.connecting(loop.schedule(call.connectUntilMs(loop.nowMs() + connectMs), () -> later(call)), coming::cancel);
+        call.connecting(loop.schedule(call.connectUntilMs(loop.nowMs() + connectMs), () -> later(call)),
+                coming::cancel);
         coming.addNotifier((future, none) -> loop.execute(() -> connected(to, call, future)), null);
     }
 
--- a/src/test/java/maplerail/KeyedRepeatTest.java
+++ b/src/test/java/maplerail/KeyedRepeatTest.java
@@ -141,7 +141,8 @@
                         + "\"class\":\"" + kind + "\",\"health\":\"in_service\",\"share\":1.0,\"born_ms\":0}";
             }
             NameTables names = new NameTables(List.of("east"), List.of("prefill", "decode"), List.of("ask"), List.of());
-            EngineList list = EngineList.read(JsonValue.parse("list", "{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts + "]}"),
+            EngineList list = EngineList.read(
+                    JsonValue.parse("list", "{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts + "]}"),
                     names);
             Node node = node(scope).start(list.members().toArray(Member[]::new));
             node.arrive(1);
--- a/src/test/java/maplerail/core/BrokerRig.java
+++ b/src/test/java/maplerail/core/BrokerRig.java
@@ -54,7 +54,8 @@
                 List.of(new Router.Kind(Router.Role.READ, 1), new Router.Kind(Router.Role.WRITE, 1)),
                 new Router.Limits(6, true, false, true, 1_000, false),
                 new Router.Rules(8, PIN_LIMIT_MS, 1, 1, 1, 1, 1));
-        broker = new Broker(router, settings, new Quotas(Budgets.withoutQuotas(MOST_OPEN), loop, line -> {}), loop, engines(),
+        broker = new Broker(router, settings, new Quotas(Budgets.withoutQuotas(MOST_OPEN), loop, line -> {}), loop,
+                engines(),
                 log::add);
         broker.updateEngines(new Router.Members(Router.ListKind.WHOLE, 1,
                 List.of(new Router.Member(READER, Router.State.READY, 0, 0, 0, 1, 0),
@@ -65,7 +66,8 @@
     /** Takes a request, for which the module orders this first. */
     void take(String id, Router.Action... first) {
         next.addAll(List.of(first));
-        handle = broker.submit(new ServiceRequest(id, 0, 0, 0, 100, 0, 0, DEADLINE_MS, 10, 0, false, 10, null), caller());
+        handle = broker.submit(new ServiceRequest(id, 0, 0, 0, 100, 0, 0, DEADLINE_MS, 10, 0, false, 10, null),
+                caller());
     }
 
     /** Lets the module order this now. */
--- a/src/test/java/maplerail/core/ScriptedBroker.java
+++ b/src/test/java/maplerail/core/ScriptedBroker.java
@@ -110,14 +110,17 @@
                 releasedForMs = untilMs - loop.now;
             }
         };
-        broker = new Broker(router, settings, new Quotas(Budgets.withoutQuotas(3), loop, line -> {}), loop, engines, line -> {});
+        broker = new Broker(router, settings, new Quotas(Budgets.withoutQuotas(3), loop, line -> {}), loop, engines,
+                line -> {});
         list(State.READY);
         told.clear();
     }
 
     void list(State writer) {
-        broker.updateEngines(new Router.Members(ListKind.WHOLE, 1, List.of(new Member(READER, State.READY, 0, 0, 0, 1, 0),
-                new Member(WRITER, writer, 0, 0, 0, 1, 1), new Member(OTHER_READER, State.READY, 0, 0, 0, 1, 0))));
+        broker.updateEngines(new Router.Members(ListKind.WHOLE, 1,
+                List.of(new Member(READER, State.READY, 0, 0, 0, 1, 0),
+                        new Member(WRITER, writer, 0, 0, 0, 1, 1),
+                        new Member(OTHER_READER, State.READY, 0, 0, 0, 1, 0))));
     }
 
     /** Makes the module do something, by news that changes nothing. */
--- a/src/test/java/maplerail/discovery/ConsulTest.java
+++ b/src/test/java/maplerail/discovery/ConsulTest.java
@@ -33,7 +33,8 @@
     }
 
     private static EngineList platform(String dial, String health) {
-        NameTables names = new NameTables(java.util.List.of("caerdydd"), java.util.List.of("prefill"), java.util.List.of(),
+        NameTables names = new NameTables(java.util.List.of("caerdydd"), java.util.List.of("prefill"),
+                java.util.List.of(),
                 java.util.List.of());
         return EngineList.read(JsonValue.parseObject("list", """
                 {"seq":4,"whole":false,"hosts":[{"host":"s-5be2a07c","dial":"%s","site":"caerdydd","class":"prefill",
--- a/src/test/java/maplerail/net/LoopOnWorker.java
+++ b/src/test/java/maplerail/net/LoopOnWorker.java
@@ -27,7 +27,8 @@
 
     /** A pool on the loop of at most so many connections. */
     ConnectionPool pool(double connIdleMs, double connectTimeoutMs, int most) {
-        return new ConnectionPool(loop, new DefaultByteBufferPool(true, BUFFER_BYTES), connIdleMs, connectTimeoutMs, most);
+        return new ConnectionPool(loop, new DefaultByteBufferPool(true, BUFFER_BYTES), connIdleMs, connectTimeoutMs,
+                most);
     }
 
     @Override
--- a/src/test/java/maplerail/net/XnioLoopTest.java
+++ b/src/test/java/maplerail/net/XnioLoopTest.java
@@ -51,7 +51,8 @@
             double stoppedMs = loop.nowMs();
             while (loop.nowMs() < stoppedMs + STOOD_STILL_MS) Thread.onSpinWait();
             heard.add(loop.inputArrivedAfterMs() <= stoppedMs ? "unread since" : "known");
-            loop.runAfterInput(() -> heard.add(loop.connectionsArrivedAfterMs() <= stoppedMs ? "unread since" : "known"));
+            loop.runAfterInput(
+                    () -> heard.add(loop.connectionsArrivedAfterMs() <= stoppedMs ? "unread since" : "known"));
         });
         assertThat(World.take(heard)).isEqualTo("unread since");
         assertThat(World.take(heard)).as("of connections, of which some may still wait").isEqualTo("unread since");
--- a/src/test/java/maplerail/policy/ProtocolRulesTest.java
+++ b/src/test/java/maplerail/policy/ProtocolRulesTest.java
@@ -54,7 +54,8 @@
         assertThat(send(state(Repeat.PURE, Scope.ALL, 3, 0, null), WRITER, 0)).isEqualTo(Reason.ATTEMPTS_SPENT);
         assertThat(send(state(Repeat.PURE, Scope.ALL, 1, 1, null), WRITER, 0)).isEqualTo(Reason.ATTEMPT_OUT);
         Limits copies = new Limits(3, true, true, true, 1_000, false);
-        assertThat(ProtocolRules.checkAttempt(state(Repeat.PURE, Scope.ALL, 1, 1, null), copies)).isEqualTo(Reason.ALLOWED);
+        assertThat(ProtocolRules.checkAttempt(state(Repeat.PURE, Scope.ALL, 1, 1, null), copies))
+                .isEqualTo(Reason.ALLOWED);
     }
 
     @Test
