--- a/src/main/java/maplerail/sim/Adapter.java
+++ b/src/main/java/maplerail/sim/Adapter.java
@@ -7,11 +7,11 @@
 import maplerail.Logic;
 import maplerail.config.ConfigException;
 
-/** Decides on the simulator's wire. */
+/** The simulator's adapter: runs decision modules on its input and output streams. */
 public final class Adapter {
     private Adapter() {}
 
-    /** Answers batches until the input ends: 0 at its end, 1 for input that cannot be read. */
+    /** Answers batches until the input ends. Returns the exit status: 0 at the end of input, 1 if it cannot be read. */
     public static int run(InputStream in, OutputStream out, PrintStream errors) {
         try {
             new Host(Logic::new).serve(in, out);
--- a/src/main/java/maplerail/sim/Codec.java
+++ b/src/main/java/maplerail/sim/Codec.java
@@ -12,109 +12,115 @@
 import maplerail.Router.Action;
 import maplerail.Router.Event;
 
-/** Frames of the simulator's wire: batches of event records in, replies of action records out. */
+/**
+ * Decodes and encodes the frames of the simulator's protocol: batches of event records come in, replies with action
+ * records go out.
+ */
 final class Codec {
-    static final int HEADER = 16;
-    static final int EVENT = 64;
-    static final int ACTION = 24;
-    static final int MEMBER = 23;
+    static final int HEADER_BYTES = 16;
+    static final int EVENT_BYTES = 64;
+    static final int ACTION_BYTES = 24;
+    static final int MEMBER_BYTES = 23;
 
-    static final int SWITCH_TO = 1110;
+    static final int SELECT_INSTANCE = 1110;
     static final int LAUNCH = 1000;
     static final int SHUTDOWN = 1090;
 
     private Codec() {}
 
-    /** A batch as it came: its clock and its records and tail. */
+    /** A batch as received: its clock, its event records and a tail with their lists and texts. */
     static final class Batch {
         final double clockMs;
-        final int records;
+        final int recordCount;
         private final ByteBuffer body;
-        private final int tail;
+        private final int tailStart;
 
-        Batch(double clockMs, int records, ByteBuffer body) {
+        Batch(double clockMs, int recordCount, ByteBuffer body) {
             this.clockMs = clockMs;
-            this.records = records;
+            this.recordCount = recordCount;
             this.body = body;
-            this.tail = records * EVENT;
+            this.tailStart = recordCount * EVENT_BYTES;
         }
 
         int code(int record) {
-            return Short.toUnsignedInt(body.getShort(record * EVENT));
+            return Short.toUnsignedInt(body.getShort(record * EVENT_BYTES));
         }
 
         int instance(int record) {
             return u16(record, 2);
         }
 
-        int u8(int record, int at) {
-            return Byte.toUnsignedInt(body.get(record * EVENT + at));
+        int u8(int record, int offset) {
+            return Byte.toUnsignedInt(body.get(record * EVENT_BYTES + offset));
         }
 
-        int u16(int record, int at) {
-            return Short.toUnsignedInt(body.getShort(record * EVENT + at));
+        int u16(int record, int offset) {
+            return Short.toUnsignedInt(body.getShort(record * EVENT_BYTES + offset));
         }
 
-        long u32(int record, int at) {
-            return Integer.toUnsignedLong(body.getInt(record * EVENT + at));
+        long u32(int record, int offset) {
+            return Integer.toUnsignedLong(body.getInt(record * EVENT_BYTES + offset));
         }
 
-        long u64(int record, int at) {
-            return body.getLong(record * EVENT + at);
+        long u64(int record, int offset) {
+            return body.getLong(record * EVENT_BYTES + offset);
         }
 
-        float f32(int record, int at) {
-            return body.getFloat(record * EVENT + at);
+        float f32(int record, int offset) {
+            return body.getFloat(record * EVENT_BYTES + offset);
         }
 
-        double f64(int record, int at) {
-            return body.getDouble(record * EVENT + at);
+        double f64(int record, int offset) {
+            return body.getDouble(record * EVENT_BYTES + offset);
         }
 
-        long engine(int record, int at) {
-            return engineAt(record * EVENT + at);
+        long engine(int record, int offset) {
+            return engineAt(record * EVENT_BYTES + offset);
         }
 
-        private long engineAt(int at) {
-            return Integer.toUnsignedLong(body.getInt(at)) << 16 | Short.toUnsignedLong(body.getShort(at + 4));
+        private long engineAt(int position) {
+            return Integer.toUnsignedLong(body.getInt(position)) << 16
+                    | Short.toUnsignedLong(body.getShort(position + 4));
         }
 
-        /** Where in the body a tail reference starts, checked against the frame. */
-        private int tailAt(int record, int at, int unit) {
-            long offset = u32(record, at);
-            long bytes = u32(record, at + 4) * unit;
-            if (tail + offset + bytes > body.limit()) {
+        /**
+         * Returns the position in the body to which a tail reference points; a reference past the frame is an error.
+         */
+        private int tailPosition(int record, int field, int unitBytes) {
+            long offset = u32(record, field);
+            long bytes = u32(record, field + 4) * unitBytes;
+            if (tailStart + offset + bytes > body.limit()) {
                 throw new WireException("record " + record + ": tail reference " + offset + "+" + bytes
-                        + " is outside a tail of " + (body.limit() - tail) + " bytes");
+                        + " is outside a tail of " + (body.limit() - tailStart) + " bytes");
             }
-            return (int) (tail + offset);
+            return (int) (tailStart + offset);
         }
 
-        String text(int record, int at) {
-            int from = tailAt(record, at, 1);
-            return new String(body.array(), from, (int) u32(record, at + 4), StandardCharsets.UTF_8);
+        String text(int record, int field) {
+            int start = tailPosition(record, field, 1);
+            return new String(body.array(), start, (int) u32(record, field + 4), StandardCharsets.UTF_8);
         }
 
-        private List<Router.Member> members(int record, int at) {
-            int from = tailAt(record, at, MEMBER);
-            int count = (int) u32(record, at + 4);
-            List<Router.Member> out = new ArrayList<>(count);
-            for (int i = 0; i < count; i++, from += MEMBER) {
-                int health = Byte.toUnsignedInt(body.get(from));
+        private List<Router.Member> members(int record, int field) {
+            int entry = tailPosition(record, field, MEMBER_BYTES);
+            int count = (int) u32(record, field + 4);
+            List<Router.Member> members = new ArrayList<>(count);
+            for (int i = 0; i < count; i++, entry += MEMBER_BYTES) {
+                int health = Byte.toUnsignedInt(body.get(entry));
                 Router.State state = switch (health) {
                     case 0 -> Router.State.GONE;
                     case 1 -> Router.State.READY;
                     case 2 -> Router.State.DRAINING;
                     default -> throw new WireException("record " + record + ": entry " + i + ": health " + health);
                 };
-                out.add(new Router.Member(engineAt(from + 9), state, body.getDouble(from + 1),
-                        Byte.toUnsignedInt(body.get(from + 15)), Short.toUnsignedInt(body.getShort(from + 16)),
-                        body.getFloat(from + 18), Byte.toUnsignedInt(body.get(from + 22))));
+                members.add(new Router.Member(engineAt(entry + 9), state, body.getDouble(entry + 1),
+                        Byte.toUnsignedInt(body.get(entry + 15)), Short.toUnsignedInt(body.getShort(entry + 16)),
+                        body.getFloat(entry + 18), Byte.toUnsignedInt(body.get(entry + 22))));
             }
-            return out;
+            return members;
         }
 
-        /** The event of a record, or null for one that the decisions have no use for. */
+        /** Returns the event of a record, or null for one that the decision module does not use. */
         Event event(int record, int memoryColumn) {
             int code = code(record);
             return switch (code) {
@@ -129,7 +135,7 @@
                         f64(record, 15), u32(record, 10), u8(record, 24) != 0, load(record, 31, memoryColumn));
                 case 1050 -> new Router.Abandoned(u64(record, 2));
                 case 1060 -> new Router.Timer(u64(record, 2));
-                // Probe answers, peers' mail and notes on places: nothing that this library asks for.
+                // Probe answers, messages of peers and notes on places, none of which this program requests.
                 case 1070, 1080, 1100 -> null;
                 default -> throw new WireException("record " + record + ": unknown code " + code);
             };
@@ -162,69 +168,70 @@
             };
         }
 
-        private Router.Load load(int record, int at, int memoryColumn) {
-            boolean told = memoryColumn >= 0 && memoryColumn < u8(record, at);
-            return new Router.Load(told ? f32(record, at + 1 + 4 * memoryColumn) : Double.NaN);
+        private Router.Load load(int record, int offset, int memoryColumn) {
+            boolean reported = memoryColumn >= 0 && memoryColumn < u8(record, offset);
+            return new Router.Load(reported ? f32(record, offset + 1 + 4 * memoryColumn) : Double.NaN);
         }
     }
 
-    /** Reads one batch; null at the end of input. */
+    /** Reads a batch; returns null at the end of input. */
     static Batch read(InputStream in) throws IOException {
-        byte[] head = in.readNBytes(HEADER);
-        if (head.length == 0) {
+        byte[] headerBytes = in.readNBytes(HEADER_BYTES);
+        if (headerBytes.length == 0) {
             return null;
         }
-        if (head.length < HEADER) {
-            throw new WireException("header: input ends after " + head.length + " of " + HEADER + " bytes");
+        if (headerBytes.length < HEADER_BYTES) {
+            throw new WireException(
+                    "header: input ends after " + headerBytes.length + " of " + HEADER_BYTES + " bytes");
         }
-        ByteBuffer header = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN);
-        long records = Integer.toUnsignedLong(header.getInt());
+        ByteBuffer header = ByteBuffer.wrap(headerBytes).order(ByteOrder.LITTLE_ENDIAN);
+        long recordCount = Integer.toUnsignedLong(header.getInt());
         long length = Integer.toUnsignedLong(header.getInt());
-        if (records * EVENT > length || length > Integer.MAX_VALUE - HEADER) {
-            throw new WireException("header: " + records + " records do not fit " + length + " bytes");
+        if (recordCount * EVENT_BYTES > length || length > Integer.MAX_VALUE - HEADER_BYTES) {
+            throw new WireException("header: " + recordCount + " records do not fit " + length + " bytes");
         }
         byte[] body = in.readNBytes((int) length);
         if (body.length < length) {
             throw new WireException("body: input ends after " + body.length + " of " + length + " bytes");
         }
-        return new Batch(header.getDouble(), (int) records, ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN));
+        return new Batch(header.getDouble(), (int) recordCount, ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN));
     }
 
-    /** A reply as it grows. */
+    /** Builds the reply to a batch. */
     static final class Reply {
-        private final ByteBuffer record = ByteBuffer.allocate(ACTION).order(ByteOrder.LITTLE_ENDIAN);
+        private final ByteBuffer record = ByteBuffer.allocate(ACTION_BYTES).order(ByteOrder.LITTLE_ENDIAN);
         private final ByteArrayOutputStream records = new ByteArrayOutputStream();
         private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
         private int count;
 
-        private ByteBuffer start(int code) {
+        private ByteBuffer beginRecord(int code) {
             java.util.Arrays.fill(record.array(), (byte) 0);
             return record.clear().putShort((short) code);
         }
 
-        private void end() {
-            records.write(record.array(), 0, ACTION);
+        private void endRecord() {
+            records.write(record.array(), 0, ACTION_BYTES);
             count++;
         }
 
         void instance(int number) {
-            start(1140).putShort((short) number);
-            end();
+            beginRecord(1140).putShort((short) number);
+            endRecord();
         }
 
-        void broken(String line) {
+        void fault(String line) {
             text(1010, line);
         }
 
         private void text(int code, String line) {
             byte[] bytes = line.getBytes(StandardCharsets.UTF_8);
-            start(code).putInt(tail.size()).putInt(bytes.length);
+            beginRecord(code).putInt(tail.size()).putInt(bytes.length);
             tail.writeBytes(bytes);
-            end();
+            endRecord();
         }
 
-        private static void engine(ByteBuffer to, long engine) {
-            to.putInt((int) (engine >>> 16)).putShort((short) engine);
+        private static void putEngine(ByteBuffer buffer, long engine) {
+            buffer.putInt((int) (engine >>> 16)).putShort((short) engine);
         }
 
         void action(Action action) {
@@ -233,27 +240,27 @@
                 return;
             }
             if (action instanceof Router.Send send) {
-                ByteBuffer to = start(1060).putLong(send.id());
-                engine(to, send.engine());
-                to.putDouble(send.deadlineMs());
+                ByteBuffer buffer = beginRecord(1060).putLong(send.id());
+                putEngine(buffer, send.engine());
+                buffer.putDouble(send.deadlineMs());
             } else if (action instanceof Router.Cancel cancel) {
-                start(1090).putLong(cancel.id()).put((byte) cancel.attempt());
+                beginRecord(1090).putLong(cancel.id()).put((byte) cancel.attempt());
             } else if (action instanceof Router.Release release) {
-                start(1100).putLong(release.id());
+                beginRecord(1100).putLong(release.id());
             } else if (action instanceof Router.Reclaim reclaim) {
-                start(1100).putLong(reclaim.id());
+                beginRecord(1100).putLong(reclaim.id());
             } else if (action instanceof Router.Refuse refuse) {
-                start(1050).putLong(refuse.id()).putDouble(refuse.retryAfterMs());
+                beginRecord(1050).putLong(refuse.id()).putDouble(refuse.retryAfterMs());
             } else if (action instanceof Router.Fail fail) {
-                start(1130).putLong(fail.id());
+                beginRecord(1130).putLong(fail.id());
             } else if (action instanceof Router.SetTimer timer) {
-                start(1070).putLong(timer.token()).putDouble(timer.atMs());
+                beginRecord(1070).putLong(timer.token()).putDouble(timer.atMs());
             } else if (action instanceof Router.Subscribe) {
-                start(1120).put((byte) 1);
+                beginRecord(1120).put((byte) 1);
             } else if (action instanceof Router.FetchList) {
-                start(1150);
+                beginRecord(1150);
             }
-            end();
+            endRecord();
         }
 
         byte[] bytes() {
--- a/src/main/java/maplerail/sim/Host.java
+++ b/src/main/java/maplerail/sim/Host.java
@@ -10,15 +10,15 @@
 import maplerail.Router;
 import maplerail.config.SettingsReader;
 
-/** Hosts one decision module for each simulated node and passes events and actions between them and the wire. */
+/** Runs one decision module for each simulated node; passes events to it and its actions to the reply. */
 final class Host {
     private final Map<Integer, Node> nodes = new HashMap<>();
-    private final Function<Router.Settings, Router> modules;
+    private final Function<Router.Settings, Router> moduleFactory;
 
     private record Node(Router router, int memoryColumn) {}
 
-    Host(Function<Router.Settings, Router> modules) {
-        this.modules = modules;
+    Host(Function<Router.Settings, Router> moduleFactory) {
+        this.moduleFactory = moduleFactory;
     }
 
     void serve(InputStream in, OutputStream out) throws IOException {
@@ -31,10 +31,10 @@
     private Codec.Reply answer(Codec.Batch batch) {
         Codec.Reply reply = new Codec.Reply();
         int instance = -1;
-        int named = -1;
-        for (int record = 0; record < batch.records; record++) {
+        int replyInstance = -1;
+        for (int record = 0; record < batch.recordCount; record++) {
             int code = batch.code(record);
-            if (code == Codec.SWITCH_TO) {
+            if (code == Codec.SELECT_INSTANCE) {
                 instance = batch.instance(record);
                 continue;
             }
@@ -43,7 +43,7 @@
             }
             if (code == Codec.LAUNCH) {
                 SettingsReader.Parsed parsed = SettingsReader.read(batch.u64(record, 2), batch.text(record, 10));
-                nodes.put(instance, new Node(modules.apply(parsed.settings()), parsed.memoryColumn()));
+                nodes.put(instance, new Node(moduleFactory.apply(parsed.settings()), parsed.memoryColumn()));
                 continue;
             }
             if (code == Codec.SHUTDOWN) {
@@ -53,7 +53,7 @@
             Node node = nodes.get(instance);
             if (node == null) {
                 throw new WireException("record " + record + ": code " + code + " for instance " + instance
-                        + ", which is not up");
+                        + ", which is not running");
             }
             Router.Event event = batch.event(record, node.memoryColumn());
             if (event == null) {
@@ -68,12 +68,12 @@
                 fault = "instance " + instance + ": " + event.getClass().getSimpleName() + ": " + e
                         + (e.getStackTrace().length > 0 ? " at " + e.getStackTrace()[0] : "");
             }
-            if (named != instance && (fault != null || !actions.isEmpty())) {
+            if (replyInstance != instance && (fault != null || !actions.isEmpty())) {
                 reply.instance(instance);
-                named = instance;
+                replyInstance = instance;
             }
             if (fault != null) {
-                reply.broken(fault);
+                reply.fault(fault);
             }
             for (Router.Action action : actions) {
                 reply.action(action);
--- a/src/main/java/maplerail/sim/WireException.java
+++ b/src/main/java/maplerail/sim/WireException.java
@@ -1,10 +1,10 @@
 package maplerail.sim;
 
-/** Input that cannot be read; the message says what is wrong and where. */
+/** Reports input that cannot be decoded; the message says what is wrong and where. */
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Makes one with a line for the operators. */
+    /** Creates an exception with a one-line message for the operator. */
     public WireException(String message) {
         super(message);
     }
--- a/src/main/java/maplerail/sim/package-info.java
+++ b/src/main/java/maplerail/sim/package-info.java
@@ -1,2 +1,2 @@
-/** The same decision module on the simulator's wire. */
+/** Runs the decision module behind the simulator's binary protocol. */
 package maplerail.sim;
--- a/src/test/java/maplerail/sim/CodecTest.java
+++ b/src/test/java/maplerail/sim/CodecTest.java
@@ -29,7 +29,7 @@
              "rules": {"startCapacity": 0.3, "tipMultiple": 2.5, "overloadForMs": 3000.0, "warmAfterMs": 9000.0}}
             """;
 
-    /** A batch made by hand. */
+    /** Builds the bytes of a batch. */
     private static final class Frame {
         final List<byte[]> records = new ArrayList<>();
         final ByteArrayOutputStream tail = new ByteArrayOutputStream();
@@ -73,49 +73,49 @@
         }
     }
 
-    private record Run(int status, byte[] out, String errors) {}
+    private record Result(int status, byte[] out, String errors) {}
 
-    private static Run drill(byte[] input) {
+    private static Result run(byte[] input) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
         int status = Adapter.run(new ByteArrayInputStream(input), out,
                 new PrintStream(errors, true, StandardCharsets.UTF_8));
-        return new Run(status, out.toByteArray(), errors.toString(StandardCharsets.UTF_8));
+        return new Result(status, out.toByteArray(), errors.toString(StandardCharsets.UTF_8));
     }
 
-    private static void refused(byte[] input, String... words) {
-        Run run = drill(input);
-        assertEquals(1, run.status());
-        assertEquals(1, run.errors().lines().count(), run.errors());
-        for (String word : words) {
-            assertTrue(run.errors().contains(word), run.errors());
+    private static void assertRejected(byte[] input, String... expectedTexts) {
+        Result result = run(input);
+        assertEquals(1, result.status());
+        assertEquals(1, result.errors().lines().count(), result.errors());
+        for (String expected : expectedTexts) {
+            assertTrue(result.errors().contains(expected), result.errors());
         }
     }
 
     @Test
-    void endOfInputIsTheEnd() {
-        assertEquals(0, drill(new byte[0]).status());
+    void endOfInputExitsWith0() {
+        assertEquals(0, run(new byte[0]).status());
     }
 
     @Test
     void anEmptyBatchGetsAnEmptyReply() {
-        Run run = drill(HexFormat.of().parseHex("00000000" + "00000000" + "00000000206ec040"));
-        assertEquals("00".repeat(8), HexFormat.of().formatHex(run.out()));
+        Result result = run(HexFormat.of().parseHex("00000000" + "00000000" + "00000000206ec040"));
+        assertEquals("00".repeat(8), HexFormat.of().formatHex(result.out()));
     }
 
     @Test
     void aRequestIsSentToTheListedReader() {
-        Run run = drill(new Frame().launch(SETTINGS).list().request(77).bytes());
-        assertEquals("", run.errors());
-        ByteBuffer reply = ByteBuffer.wrap(run.out()).order(ByteOrder.LITTLE_ENDIAN);
+        Result result = run(new Frame().launch(SETTINGS).list().request(77).bytes());
+        assertEquals("", result.errors());
+        ByteBuffer reply = ByteBuffer.wrap(result.out()).order(ByteOrder.LITTLE_ENDIAN);
         int length = reply.getInt();
         int count = reply.getInt();
-        assertEquals(run.out().length - 8, length);
+        assertEquals(result.out().length - 8, length);
         assertEquals(length, count * 24);
         assertEquals(1140, reply.getShort(8));
         assertEquals(3, reply.getShort(10));
         boolean sent = false;
-        for (int at = 32; at < run.out().length; at += 24) {
+        for (int at = 32; at < result.out().length; at += 24) {
             if (reply.getShort(at) == 1060) {
                 assertEquals(77, reply.getLong(at + 2));
                 assertEquals(0x0a000001, reply.getInt(at + 10));
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void everyEventIsRead() throws IOException {
+    void everyEventIsDecoded() throws IOException {
         byte[] frame = new Frame()
                 .add(1040, r -> r.putLong(9).putInt(1).put((byte) 11).putDouble(18).put((byte) 2).put((byte) 1)
                         .putInt(0x01020304).putShort((short) 5).put((byte) 2).putFloat(0.5f).putFloat(0.25f))
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void everyActionIsWritten() {
+    void everyActionIsEncoded() {
         long engine = 0x01020304L << 16 | 5;
         Codec.Reply reply = new Codec.Reply();
         reply.action(new Router.Send(1, engine, 2));
@@ -172,33 +172,38 @@
     }
 
     @Test
-    void badFramesAreNamed() {
+    void badFramesAreReported() {
         byte[] good = new Frame().launch(SETTINGS).bytes();
-        refused(java.util.Arrays.copyOf(good, 7), "header", "7 of 16");
-        refused(java.util.Arrays.copyOf(good, good.length - 3), "body");
-        refused(new Frame().add(1110, r -> r.putShort((short) 3)).add(1050, r -> {}).bytes(), "record 1", "instance 3");
-        refused(new Frame().add(1050, r -> {}).bytes(), "record 0", "no instance named");
-        refused(new Frame().launch(SETTINGS).add(4242, r -> {}).bytes(), "record 2", "4242");
-        refused(new Frame().launch(SETTINGS).add(1010, r -> r.put((byte) 0).putLong(1).putInt(5).putInt(99)).bytes(),
+        assertRejected(java.util.Arrays.copyOf(good, 7), "header", "7 of 16");
+        assertRejected(java.util.Arrays.copyOf(good, good.length - 3), "body");
+        assertRejected(new Frame().add(1110, r -> r.putShort((short) 3)).add(1050, r -> {}).bytes(), "record 1",
+                "instance 3");
+        assertRejected(new Frame().add(1050, r -> {}).bytes(), "record 0", "no instance named");
+        assertRejected(new Frame().launch(SETTINGS).add(4242, r -> {}).bytes(), "record 2", "4242");
+        assertRejected(
+                new Frame().launch(SETTINGS).add(1010, r -> r.put((byte) 0).putLong(1).putInt(5).putInt(99)).bytes(),
                 "record 2", "outside a tail");
-        refused(new Frame().launch(SETTINGS).add(1010, r -> r.put((byte) 9)).bytes(), "record 2", "list scope 9");
-        refused(new Frame().launch(SETTINGS).add(1040, r -> {}).add(1040, r -> r.position(14).put((byte) 77)).bytes(),
+        assertRejected(new Frame().launch(SETTINGS).add(1010, r -> r.put((byte) 9)).bytes(), "record 2",
+                "list scope 9");
+        assertRejected(
+                new Frame().launch(SETTINGS).add(1040, r -> {}).add(1040, r -> r.position(14).put((byte) 77)).bytes(),
                 "record 3", "result 77");
     }
 
     @Test
-    void badSettingsAreNamed() {
-        refused(new Frame().launch("{oops").bytes(), "settings", "not JSON");
-        refused(new Frame().launch("[]").bytes(), "settings", "object");
-        refused(new Frame().launch(SETTINGS.replace("\"lanes\"", "\"x\"")).bytes(), "settings", "lanes", "missing");
-        refused(new Frame().launch(SETTINGS.replace("\"sendCap\": 5", "\"sendCap\": \"5\"")).bytes(), "sendCap");
-        refused(new Frame().launch(SETTINGS.replace("\"pure\"", "\"odd\"")).bytes(), "repeat", "odd");
-        refused(new Frame().launch(SETTINGS.replace("[\"read\"", "[\"typist\"")).bytes(), "kindRole", "typist");
+    void badSettingsAreReported() {
+        assertRejected(new Frame().launch("{oops").bytes(), "settings", "not JSON");
+        assertRejected(new Frame().launch("[]").bytes(), "settings", "object");
+        assertRejected(new Frame().launch(SETTINGS.replace("\"lanes\"", "\"x\"")).bytes(), "settings", "lanes",
+                "missing");
+        assertRejected(new Frame().launch(SETTINGS.replace("\"sendCap\": 5", "\"sendCap\": \"5\"")).bytes(), "sendCap");
+        assertRejected(new Frame().launch(SETTINGS.replace("\"pure\"", "\"odd\"")).bytes(), "repeat", "odd");
+        assertRejected(new Frame().launch(SETTINGS.replace("[\"read\"", "[\"typist\"")).bytes(), "kindRole", "typist");
         assertThrows(maplerail.config.ConfigException.class, () -> SettingsReader.read(1, ""));
     }
 
     @Test
-    void settingsAreReadInTheLibrarysTerms() {
+    void settingsAreConverted() {
         Router.Settings settings = SettingsReader.read(1, SETTINGS).settings();
         assertEquals(1, settings.overSharePriorityFactor());
         assertEquals(new Router.Kind(Router.Role.WRITE, 2000), settings.kinds().get(1));
@@ -207,7 +212,7 @@
     }
 
     @Test
-    void aFaultOfTheModuleIsReportedOnTheWire() {
+    void aFaultOfTheModuleIsReportedInTheReply() {
         byte[] frame = new Frame().launch(SETTINGS).list().request(77).bytes();
         Router broken = (now, events) -> {
             throw new IllegalStateException("oops");
