--- a/src/main/java/maplerail/cli/Gateway.java
+++ b/src/main/java/maplerail/cli/Gateway.java
@@ -39,45 +39,49 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
-/** One real gateway: puts the parts together and takes them from start to exit. */
+/** A gateway process: wires up its components and runs them from start to exit. */
 public final class Gateway {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
-    private static final double ARRIVING_MS = 600; // after the signal to stop, that connections may arrive for
-    private static final double LOOK_MS = 20;
-    /** For which the exit waits for releases: as long as a state may be held, with the slack of the rules on sockets. */
-    private static final double LAST_RELEASES_MS = 800;
-    private static final double CONFIRM_MS = 500; // for the agent on this machine to say what has changed
-    private static final int BUFFER = 8 * 1024;
-    private static final int MOST_HEAD = 16 * 1024; // bytes of a request's head
-    /** Of the descriptors: connections that clients may hold at either front. The rest is for engines. */
-    private static final int CLIENT_PERCENT = 55;
-    private static final int RPC_PERCENT = 10;
-    private static final int TOOLS_PERCENT = 10; // connections to tool servers
-    /** What the machine, the listeners and the log hold, and the connections that pools reserve. */
-    private static final int OWN_SOCKETS = 40;
+    private static final double ARRIVAL_GRACE_MS = 600; // after the signal to stop, while new requests are still served
+    private static final double DRAIN_POLL_MS = 20;
+    /** How long the exit waits for releases: as long as a state may be held, plus the slack of the rules on sockets. */
+    private static final double RELEASE_GRACE_MS = 800;
+    private static final double CONFIRM_TIMEOUT_MS = 500; // for the local discovery agent to report changes
+    private static final int BUFFER_BYTES = 8 * 1024;
+    private static final int MAX_HEAD_BYTES = 16 * 1024; // of a request
+    // Shares of the file descriptors; what remains is for connections to engines.
+    private static final int HTTP_CLIENT_PERCENT = 55; // for clients of the HTTP front
+    private static final int RPC_CLIENT_PERCENT = 10; // for clients of the JSON-RPC front
+    private static final int TOOL_SERVER_PERCENT = 10; // for connections to tool servers
+    /** File descriptors of the virtual machine, the listeners and the log, and the connections that pools reserve. */
+    private static final int RESERVED_SOCKETS = 40;
 
     private final NodeConfig config;
     private final Lifecycle lifecycle = new Lifecycle();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final XnioWorker worker;
     private final XnioLoop loop;
-    private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER, 512, 0);
+    private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 512, 0);
     private final Broker broker;
     private final EngineClient engines;
-    private final PlatformFront front;
+    private final PlatformFront httpFront;
     private final PlatformWatch watch;
     private final ToolServices tools;
-    private final RpcFront rpc;
+    private final RpcFront rpcFront;
     private final InetSocketAddress rpcListen;
-    /** The list of an earlier life, until the agent has said what changed since. */
+    /** The list from an earlier run, until the agent has reported what changed since; null otherwise. */
     private EngineList unconfirmed;
-    private AcceptingChannel<?> server;
+    private AcceptingChannel<?> httpServer;
     private AcceptingChannel<?> rpcServer;
     private final List<ClientListener> listeners = new ArrayList<>();
-    /** When it exits though releases are under way; set once all else is done. */
+    /** When the gateway exits although releases are pending; set once all requests are finished. */
     private double exitByMs = Double.NaN;
 
-    /** Makes a gateway that does not listen yet; {@code toolsConfig} is null where the second front is off. */
+    /**
+     * Creates a gateway that does not listen yet.
+     *
+     * @param toolsConfig the configuration of the JSON-RPC front; null if that is off
+     */
     public Gateway(NodeConfig config, ToolsConfig toolsConfig) throws IOException {
         this.config = config;
         worker = Xnio.getInstance().createWorker(OptionMap.builder()
@@ -85,63 +89,67 @@
                 .set(Options.WORKER_TASK_MAX_THREADS, 1).set(Options.TCP_NODELAY, true)
                 .set(Options.THREAD_DAEMON, false).getMap());
         loop = new XnioLoop(worker.getIoThread());
-        boolean on = toolsConfig != null;
-        int sockets = config.wire().sockets();
-        int tooling = on ? sockets * (RPC_PERCENT + TOOLS_PERCENT) / 100 : 0;
-        ConnectionPool pool = new ConnectionPool(loop, buffers, config.wire().connIdleMs(),
-                config.wire().connectTimeoutMs(),
-                sockets - OWN_SOCKETS - sockets * CLIENT_PERCENT / 100 - tooling);
+        boolean toolsEnabled = toolsConfig != null;
+        int sockets = config.connections().maxSockets();
+        int toolSockets = toolsEnabled ? sockets * (RPC_CLIENT_PERCENT + TOOL_SERVER_PERCENT) / 100 : 0;
+        ConnectionPool pool = new ConnectionPool(loop, buffers, config.connections().connIdleMs(),
+                config.connections().connectTimeoutMs(),
+                sockets - RESERVED_SOCKETS - sockets * HTTP_CLIENT_PERCENT / 100 - toolSockets);
         engines = new EngineClient(pool);
         Router.Settings settings = config.settings();
         Consumer<String> log = line -> LOG.info("{}", line);
-        Quotas quotas = new Quotas(Budgets.withoutQuotas(config.wire().maxOpen()), loop, log);
+        Quotas quotas = new Quotas(Budgets.withoutQuotas(config.connections().maxOpenRequests()), loop, log);
         broker = new Broker(new Logic(settings), settings, quotas, loop, engines, log);
         double longestDeadlineMs = settings.classes().stream().mapToDouble(Router.RequestClass::deadlineMs).max()
                 .orElse(0);
-        front = new PlatformFront(broker, config.names(), lifecycle, loop, longestDeadlineMs);
+        httpFront = new PlatformFront(broker, config.names(), lifecycle, loop, longestDeadlineMs);
         watch = new PlatformWatch(pool, loop, config.discovery(), config.names(), settings.nodeCount(),
-                settings.seed(), this::hear);
-        tools = on ? new ToolServices(toolsConfig, loop, buffers, settings.seed(), sockets * TOOLS_PERCENT / 100)
+                settings.seed(), this::updateEngines);
+        tools = toolsEnabled
+                ? new ToolServices(toolsConfig, loop, buffers, settings.seed(), sockets * TOOL_SERVER_PERCENT / 100)
                 : null;
-        rpc = on ? new RpcFront(toolsConfig, tools.brokers(), broker, config.names(), lifecycle) : null;
-        rpcListen = on ? toolsConfig.listen() : null;
+        rpcFront = toolsEnabled ? new RpcFront(toolsConfig, tools.brokers(), broker, config.names(), lifecycle) : null;
+        rpcListen = toolsEnabled ? toolsConfig.listen() : null;
     }
 
-    /** The phase it is in. */
+    /** Returns the current phase. */
     public Phase phase() {
         return lifecycle.phase();
     }
 
-    /** Where the second front listens, if it is on. */
+    /** Returns the address on which the JSON-RPC front listens, if it is on. */
     public InetSocketAddress rpcAddress() {
         return rpcServer.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** Requests of which anything is still remembered, at either front. */
+    /** Returns the number of requests, at either front, of which any state is still kept. */
     public int trackedRequests() {
         return broker.retainedRequests() + (tools == null ? 0 : tools.trackedRequests());
     }
 
-    /** Where it listens, once it does. */
+    /** Returns the address on which the HTTP front listens, once it does. */
     public InetSocketAddress address() {
-        return server.getLocalAddress(InetSocketAddress.class);
+        return httpServer.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** Listens and serves; ready as soon as a list of engines is known and, where it may be old, confirmed. */
+    /**
+     * Starts to listen and serve. The gateway is ready as soon as it has a list of engines; one from an earlier run
+     * that may be outdated has to be confirmed first.
+     */
     public void start() throws IOException {
         loop.execute(() -> {
-            remember(config.known());
+            startFrom(config.knownEngines());
             watch.poll();
             if (tools != null) tools.start();
         });
-        server = listen(config.listen(), front, CLIENT_PERCENT, front::setListener);
-        if (rpc != null) rpcServer = listen(rpcListen, rpc, RPC_PERCENT, rpc::setListener);
+        httpServer = listen(config.listen(), httpFront, HTTP_CLIENT_PERCENT, httpFront::setListener);
+        if (rpcFront != null) rpcServer = listen(rpcListen, rpcFront, RPC_CLIENT_PERCENT, rpcFront::setListener);
         LOG.info("{} listens on {}", config.name(), address());
-        tellSettings();
+        logSettings();
     }
 
-    /** The figures by which the rules bind, as an operator needs them beside a line of a request that ended badly. */
-    private void tellSettings() {
+    /** Logs the settings of the rules, which an operator needs to interpret the log line of a request that failed. */
+    private void logSettings() {
         Router.Settings settings = config.settings();
         for (int i = 0; i < settings.classes().size(); i++) {
             Router.RequestClass requestClass = settings.classes().get(i);
@@ -152,21 +160,25 @@
     }
 
     /**
-     * Goes on from the engines of an earlier life. Where lists are pushed, what the agent has counts as told from the
-     * start, so its answer, which costs nothing, is awaited before the front brings clients; a silent one not for long.
+     * Starts from the engines of an earlier run. Where lists are pushed, the gateway is expected to know the agent's
+     * list from the start, so the agent's answer, which costs nothing, is awaited before clients are served, but only
+     * for a limited time in case the agent is silent.
      */
-    private void remember(EngineList known) {
+    private void startFrom(EngineList known) {
         if (known == null) return;
         unconfirmed = known;
         boolean pushed = !config.settings().mustSubscribe();
         if (!known.members().isEmpty()) watch.resumeFrom(known.version(), pushed);
-        if (pushed && !known.members().isEmpty()) loop.schedule(loop.nowMs() + CONFIRM_MS, this::useRememberedList);
-        else useRememberedList();
+        if (pushed && !known.members().isEmpty())
+            loop.schedule(loop.nowMs() + CONFIRM_TIMEOUT_MS, this::useRememberedList);
+        else
+            useRememberedList();
     }
 
     /**
-     * Decides by the remembered list from now on. Not before the agent has answered: clients that reach a restarted
-     * gateway before it is ready wait for that, or would be sent to engines that have begun to drain meanwhile.
+     * Routes by the remembered list from now on. This is not done before the agent has answered or the wait for it has
+     * timed out: until then clients of a restarted gateway wait, as they would otherwise be sent to engines that have
+     * begun to drain in the meantime.
      */
     private void useRememberedList() {
         if (unconfirmed == null) return;
@@ -174,68 +186,75 @@
         unconfirmed = null;
         engines.addAddresses(known.addresses());
         broker.updateEngines(new Router.Members(Router.ListKind.REMEMBERED, known.version(), known.members()));
-        if (!known.members().isEmpty()) ready();
+        if (!known.members().isEmpty()) becomeReady();
     }
 
-    /** Past the high water nothing is accepted: what waits there costs no descriptor, and engines stay in reach. */
-    private AcceptingChannel<?> listen(InetSocketAddress at, HttpHandler handler, int percent,
-            Consumer<ClientListener> through)
+    /**
+     * Starts to listen. Above the high-water mark no connection is accepted: those that wait in the backlog use no file
+     * descriptor, so that engines can still be reached.
+     *
+     * @param percent the share of the file descriptors that clients of this listener may use
+     * @param attach gives the listener to its front
+     */
+    private AcceptingChannel<?> listen(InetSocketAddress address, HttpHandler handler, int percent,
+            Consumer<ClientListener> attach)
             throws IOException {
-        HttpOpenListener http = new HttpOpenListener(buffers, OptionMap.builder()
-                .set(UndertowOptions.ALWAYS_SET_DATE, false).set(UndertowOptions.MAX_HEADER_SIZE, MOST_HEAD)
+        HttpOpenListener openListener = new HttpOpenListener(buffers, OptionMap.builder()
+                .set(UndertowOptions.ALWAYS_SET_DATE, false).set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEAD_BYTES)
                 .getMap());
-        http.setRootHandler(handler);
-        int most = config.wire().sockets() * percent / 100;
-        ClientListener listener = new ClientListener(http, loop, most, broker.counters());
+        openListener.setRootHandler(handler);
+        int maxConnections = config.connections().maxSockets() * percent / 100;
+        ClientListener listener = new ClientListener(openListener, loop, maxConnections, broker.counters());
         listeners.add(listener);
-        through.accept(listener);
-        AcceptingChannel<?> listening = worker.createStreamConnectionServer(at,
+        attach.accept(listener);
+        AcceptingChannel<?> channel = worker.createStreamConnectionServer(address,
                 ChannelListeners.openListenerAdapter(listener),
                 OptionMap.builder().set(Options.BACKLOG, 1_024).set(Options.TCP_NODELAY, true)
-                        .set(Options.CONNECTION_HIGH_WATER, most).set(Options.CONNECTION_LOW_WATER, most - 1).getMap());
-        listening.resumeAccepts();
-        loop.execute(() -> AcceptBackOff.limit(loop, listening, listener::acceptFailed));
-        return listening;
+                        .set(Options.CONNECTION_HIGH_WATER, maxConnections)
+                        .set(Options.CONNECTION_LOW_WATER, maxConnections - 1).getMap());
+        channel.resumeAccepts();
+        loop.execute(() -> AcceptBackOff.limit(loop, channel, listener::acceptFailed));
+        return channel;
     }
 
-    private void hear(EngineList list) {
+    private void updateEngines(EngineList list) {
         useRememberedList();
         engines.addAddresses(list.addresses());
         broker.updateEngines(new Router.Members(list.whole() ? Router.ListKind.WHOLE : Router.ListKind.CHANGES,
                 list.version(), list.members()));
-        ready();
+        becomeReady();
     }
 
-    private void ready() {
+    private void becomeReady() {
         if (lifecycle.phase() == Phase.STARTING) lifecycle.moveTo(Phase.READY);
     }
 
     /**
-     * Takes what may change while it runs from a new configuration: where discovery is, and Consul. Open requests
-     * and all that was learnt stay.
+     * Applies the part of a new configuration that may change at run time: the address of discovery. Open requests and
+     * everything learnt so far are kept.
      */
-    public void reload(NodeConfig news) {
+    public void reload(NodeConfig newConfig) {
         loop.execute(() -> {
-            watch.switchAgent(news.discovery());
-            LOG.info("configuration read again: discovery is at {}", news.discovery());
+            watch.switchAgent(newConfig.discovery());
+            LOG.info("configuration reloaded: discovery is at {}", newConfig.discovery());
         });
     }
 
-    /** Takes what may change of the second front. */
-    public void reloadTools(ToolsConfig news) {
+    /** Applies the part of a new tool configuration that may change at run time: the address of Consul. */
+    public void reloadTools(ToolsConfig newConfig) {
         loop.execute(() -> {
-            if (tools != null) tools.reload(news);
+            if (tools != null) tools.reload(newConfig);
         });
     }
 
-    /** The signal to stop: serves what still arrives for a while, finishes what it has taken, then stops. */
+    /** Handles the signal to stop: serves new requests for a while, finishes those accepted, then stops. */
     public void drain() {
         loop.execute(() -> {
             Phase phase = lifecycle.phase();
             if (phase != Phase.STARTING && phase != Phase.READY) return;
             lifecycle.moveTo(Phase.DRAINING);
             LOG.info("draining: {} requests open", trackedRequests());
-            loop.schedule(loop.nowMs() + ARRIVING_MS, this::finish);
+            loop.schedule(loop.nowMs() + ARRIVAL_GRACE_MS, this::finish);
         });
     }
 
@@ -243,34 +262,34 @@
         if (lifecycle.phase() == Phase.DRAINING) lifecycle.moveTo(Phase.FINISHING);
         listeners.get(0).closeIdle();
         if (listeners.get(0).activeConnections() > 0 || trackedRequests() > 0
-                || rpc != null && rpc.openRequests() > 0) {
-            loop.schedule(loop.nowMs() + LOOK_MS, this::finish);
+                || rpcFront != null && rpcFront.openRequests() > 0) {
+            loop.schedule(loop.nowMs() + DRAIN_POLL_MS, this::finish);
             return;
         }
-        // A gateway that is gone lets nothing go; whoever still sends is turned away meanwhile, as before.
-        if (Double.isNaN(exitByMs)) exitByMs = loop.nowMs() + LAST_RELEASES_MS;
+        // A gateway that has exited releases nothing. Requests that arrive during this wait are refused as before.
+        if (Double.isNaN(exitByMs)) exitByMs = loop.nowMs() + RELEASE_GRACE_MS;
         if (broker.pendingReleases() > 0 && loop.nowMs() < exitByMs) {
-            loop.schedule(loop.nowMs() + LOOK_MS, this::finish);
+            loop.schedule(loop.nowMs() + DRAIN_POLL_MS, this::finish);
             return;
         }
-        if (rpc != null) rpc.close();
+        if (rpcFront != null) rpcFront.close();
         lifecycle.moveTo(Phase.STOPPED);
         broker.counters().logChanges();
         LOG.info("drained; releases not answered: {}", broker.pendingReleases());
         stopped.countDown();
     }
 
-    /** Stops at once, whatever is open. */
+    /** Stops at once, even with open requests. */
     public void stop() {
         loop.execute(() -> {
-            IoUtils.safeClose(server, rpcServer);
+            IoUtils.safeClose(httpServer, rpcServer);
             listeners.forEach(ClientListener::close);
             loop.close();
             worker.shutdownNow();
         });
     }
 
-    /** Waits until it has stopped, then lets go of its threads and sockets. */
+    /** Waits until the drain has ended, then closes threads and sockets. */
     public void join() throws InterruptedException {
         stopped.await();
         stop();
--- a/src/main/java/maplerail/config/Address.java
+++ b/src/main/java/maplerail/config/Address.java
@@ -4,11 +4,11 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads addresses of the form {@code 127.0.0.1:8080}; names are not looked up, as there is no DNS. */
+/** Parses addresses of the form {@code 127.0.0.1:8080}. Host names are not resolved, as there is no DNS. */
 public final class Address {
     private Address() {}
 
-    /** The address that a text holds, or null if it holds none. */
+    /** Parses an address; returns null if the text is not one. */
     public static InetSocketAddress parse(String text) {
         int colon = text == null ? -1 : text.lastIndexOf(':');
         if (colon <= 0) return null;
@@ -22,7 +22,7 @@
         }
     }
 
-    /** The address under a key of a configuration, which must hold one. */
+    /** Returns the address that a configuration value holds; any other value is an error. */
     public static InetSocketAddress require(JsonValue value) {
         InetSocketAddress address = parse(value.text());
         if (address == null) throw new ConfigException(value.path() + ": not an address: '" + value.text() + "'");
--- a/src/main/java/maplerail/config/ConfigException.java
+++ b/src/main/java/maplerail/config/ConfigException.java
@@ -1,10 +1,10 @@
 package maplerail.config;
 
-/** Configuration that cannot be used; the message names the key. */
+/** Reports a configuration that cannot be used; the message names the key. */
 public final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Makes one with a line for the operators. */
+    /** Creates an exception with a one-line message for the operator. */
     public ConfigException(String message) {
         super(message);
     }
--- a/src/main/java/maplerail/config/EngineList.java
+++ b/src/main/java/maplerail/config/EngineList.java
@@ -7,12 +7,18 @@
 import java.util.Map;
 import maplerail.Router;
 
-/** A list of engines, or the changes to one, as discovery words it: what to tell the module, and where they are. */
+/**
+ * A list of engines as discovery reports it.
+ *
+ * @param whole whether this is the complete list; otherwise it holds only changes
+ * @param members the engines, in the form that the decision module takes
+ * @param addresses the address of each engine that has one, by engine ID
+ */
 public record EngineList(long version, boolean whole, List<Router.Member> members,
         Map<Long, InetSocketAddress> addresses) {
-    private static final int UNKNOWN_KIND = 255; // that the settings do not name
+    private static final int UNKNOWN_KIND = 255; // for kinds that the settings do not name
 
-    /** Reads discovery's JSON. An entry that cannot be read is passed over, as one must not hide the others. */
+    /** Parses discovery's JSON. An entry that cannot be read is skipped, so that it does not hide the others. */
     public static EngineList read(JsonValue root, NameTables names) {
         List<Router.Member> members = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new LinkedHashMap<>();
@@ -25,15 +31,18 @@
             if (state == Router.State.READY && address == null) continue;
             if (address != null) addresses.put(id, address);
             members.add(new Router.Member(id, state, host.at("born_ms").number(0),
-                    place(names.zones(), host.at("site"), Router.Member.UNKNOWN_PLACE),
+                    indexOf(names.zones(), host.at("site"), Router.Member.UNKNOWN_PLACE),
                     (int) host.at("block").number(Router.Member.UNKNOWN_PLACE), host.at("share").number(1),
-                    place(names.kinds(), host.at("class"), UNKNOWN_KIND)));
+                    indexOf(names.kinds(), host.at("class"), UNKNOWN_KIND)));
         }
         return new EngineList((long) root.require("seq").atLeast(0), root.at("whole").flag(), List.copyOf(members),
                 Map.copyOf(addresses));
     }
 
-    /** A health that is not known gets nothing new: safer than work for an engine that may want none. */
+    /**
+     * Maps a health value to a state. An unknown value counts as draining: the engine gets no new work, which is safer
+     * than sending work to an engine that may not accept it.
+     */
     private static Router.State state(String health) {
         return switch (health) {
             case "in_service" -> Router.State.READY;
@@ -42,8 +51,8 @@
         };
     }
 
-    private static int place(List<String> among, JsonValue name, int unknown) {
-        int at = among.indexOf(name.text(""));
-        return at >= 0 ? at : unknown;
+    private static int indexOf(List<String> names, JsonValue name, int unknown) {
+        int index = names.indexOf(name.text(""));
+        return index >= 0 ? index : unknown;
     }
 }
--- a/src/main/java/maplerail/config/Json.java
+++ b/src/main/java/maplerail/config/Json.java
@@ -8,33 +8,33 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** JSON texts that are passed on to the letter: no number or escape is worded anew on its way through. */
+/** Helpers for JSON texts that are passed on verbatim: numbers and escapes keep their spelling. */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private Json() {}
 
-    /** The fields of an object, each as the text that stands there; null if the text is no single object. */
+    /** Returns the fields of an object, each with the exact text of its value; null if the text is not one object. */
     public static Map<String, String> fields(String text) {
-        Map<String, String> out = new LinkedHashMap<>();
+        Map<String, String> fields = new LinkedHashMap<>();
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) return null;
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
                 parser.nextToken();
-                int from = (int) parser.currentTokenLocation().getCharOffset();
+                int start = (int) parser.currentTokenLocation().getCharOffset();
                 parser.skipChildren();
                 parser.finishToken();
-                int to = (int) parser.currentLocation().getCharOffset();
-                out.put(name, text.substring(from, to).strip());
+                int end = (int) parser.currentLocation().getCharOffset();
+                fields.put(name, text.substring(start, end).strip());
             }
-            return parser.nextToken() == null ? out : null;
+            return parser.nextToken() == null ? fields : null;
         } catch (IOException e) {
             return null;
         }
     }
 
-    /** True for a text that is one JSON value. */
+    /** Returns whether the text is exactly one JSON value. */
     public static boolean valid(String text) {
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() == null) return false;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** A text as a JSON string. */
+    /** Returns the text as a quoted JSON string. */
     public static String quote(String text) {
         return '"' + String.valueOf(JsonStringEncoder.getInstance().quoteAsString(text)) + '"';
     }
--- a/src/main/java/maplerail/config/JsonValue.java
+++ b/src/main/java/maplerail/config/JsonValue.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON value read by Jackson's streaming parser, which knows where it stands, so that errors name the key. */
+/** A JSON value and its path, so that errors name the key. Read with Jackson's streaming parser. */
 public final class JsonValue {
-    private static final JsonFactory JSON = JsonFactory.builder().streamReadConstraints(
+    private static final JsonFactory FACTORY = JsonFactory.builder().streamReadConstraints(
             StreamReadConstraints.builder().maxNestingDepth(64).build()).build();
 
     private final String path;
@@ -25,20 +25,28 @@
         this.value = value;
     }
 
-    /** Reads a text that holds one JSON object. {@code name} stands for it in errors. */
+    /**
+     * Parses a text that holds one JSON object.
+     *
+     * @param name the name of the object in the paths of error messages
+     */
     public static JsonValue parseObject(String name, String text) {
-        JsonValue tree = parse(name, text);
-        if (!(tree.value instanceof Map)) throw new ConfigException(name + ": not a JSON object");
-        return tree;
+        JsonValue parsed = parse(name, text);
+        if (!(parsed.value instanceof Map)) throw new ConfigException(name + ": not a JSON object");
+        return parsed;
     }
 
-    /** Reads a text that holds one JSON value. */
+    /**
+     * Parses a text that holds one JSON value.
+     *
+     * @param name the name of the value in the paths of error messages
+     */
     public static JsonValue parse(String name, String text) {
-        try (JsonParser parser = JSON.createParser(text)) {
+        try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() == null) throw new ConfigException(name + ": empty");
-            JsonValue tree = new JsonValue(name, read(parser));
+            JsonValue parsed = new JsonValue(name, read(parser));
             if (parser.nextToken() != null) throw new ConfigException(name + ": not JSON: text after its end");
-            return tree;
+            return parsed;
         } catch (JsonParseException e) {
             throw new ConfigException(name + ": not JSON: " + e.getOriginalMessage());
         } catch (JsonProcessingException e) {
@@ -82,124 +90,124 @@
         }
     }
 
-    /** The key at which this value stands. */
+    /** Returns the path of this value, such as {@code config.settings.limits}. */
     public String path() {
         return path;
     }
 
-    /** The value under a key; one that is absent where there is none. */
+    /** Returns the value under a key; an absent value if there is none. */
     public JsonValue at(String key) {
-        Object inner = value instanceof Map<?, ?> map ? map.get(key) : null;
-        return new JsonValue(path + "." + key, inner);
+        Object child = value instanceof Map<?, ?> map ? map.get(key) : null;
+        return new JsonValue(path + "." + key, child);
     }
 
-    /** The value at a place of a list. */
-    public JsonValue at(int place) {
-        boolean there = value instanceof List<?> list && place < list.size();
-        return new JsonValue(path + "[" + place + "]", there ? ((List<?>) value).get(place) : null);
+    /** Returns the element of a list at an index; an absent value if there is none. */
+    public JsonValue at(int index) {
+        boolean inRange = value instanceof List<?> list && index < list.size();
+        return new JsonValue(path + "[" + index + "]", inRange ? ((List<?>) value).get(index) : null);
     }
 
-    /** The value under a key, which must be there. */
+    /** Returns the value under a key; its absence is an error. */
     public JsonValue require(String key) {
-        JsonValue inner = at(key);
-        if (inner.value == null) throw new ConfigException(inner.path + ": missing");
-        return inner;
+        JsonValue child = at(key);
+        if (child.value == null) throw new ConfigException(child.path + ": missing");
+        return child;
     }
 
-    /** True if there is a value. */
+    /** Returns whether there is a value other than null. */
     public boolean present() {
         return value != null;
     }
 
-    /** True for an object. */
+    /** Returns whether the value is an object. */
     public boolean isObject() {
         return value instanceof Map;
     }
 
-    /** True for a list. */
+    /** Returns whether the value is a list. */
     public boolean isList() {
         return value instanceof List;
     }
 
-    /** True for a whole number. */
-    public boolean isWhole() {
+    /** Returns whether the value is an integer. */
+    public boolean isInteger() {
         return value instanceof Integer || value instanceof Long;
     }
 
-    /** The elements of a list; none where there is nothing. */
+    /** Returns the elements of a list; none if the value is absent. */
     public List<JsonValue> list() {
         if (value == null) return List.of();
         if (!(value instanceof List<?> list)) throw new ConfigException(path + ": not a list");
-        List<JsonValue> out = new ArrayList<>();
-        for (int i = 0; i < list.size(); i++) out.add(at(i));
-        return out;
+        List<JsonValue> elements = new ArrayList<>();
+        for (int i = 0; i < list.size(); i++) elements.add(at(i));
+        return elements;
     }
 
-    /** The keys of an object; none where there is nothing. */
+    /** Returns the keys of an object; none if the value is absent. */
     public List<String> keys() {
         if (value == null) return List.of();
         if (!(value instanceof Map<?, ?> map)) throw new ConfigException(path + ": not an object");
         return map.keySet().stream().map(String::valueOf).toList();
     }
 
-    /** The text, which must be one. */
+    /** Returns the text; any other value is an error. */
     public String text() {
         if (value instanceof String text) return text;
         throw new ConfigException(path + (value == null ? ": missing" : ": not a text"));
     }
 
-    /** The text, or another where there is no text. */
-    public String text(String other) {
-        return value instanceof String text ? text : other;
+    /** Returns the text, or the fallback if the value is not a text. */
+    public String text(String fallback) {
+        return value instanceof String text ? text : fallback;
     }
 
-    /** The number, which must be one. */
+    /** Returns the number; any other value is an error. */
     public double number() {
         if (value instanceof Number number) return number.doubleValue();
         throw new ConfigException(path + (value == null ? ": missing" : ": not a number"));
     }
 
-    /** The number, or another where there is none. */
-    public double number(double other) {
-        return value instanceof Number number ? number.doubleValue() : other;
+    /** Returns the number, or the fallback if the value is not a number. */
+    public double number(double fallback) {
+        return value instanceof Number number ? number.doubleValue() : fallback;
     }
 
-    /** The number, which must be one and at least so much. */
-    public double atLeast(double least) {
+    /** Returns the number; any other value, or one below the minimum, is an error. */
+    public double atLeast(double min) {
         double number = number();
-        if (number >= least) return number;
-        throw new ConfigException(path + ": under " + (long) least);
+        if (number >= min) return number;
+        throw new ConfigException(path + ": under " + (long) min);
     }
 
-    /** The number, which must be at least so much, or another where there is no value. */
-    public double atLeast(double least, double absent) {
-        return present() ? atLeast(least) : absent;
+    /** Returns the number, which must not be below the minimum, or the fallback if the value is absent. */
+    public double atLeast(double min, double fallback) {
+        return present() ? atLeast(min) : fallback;
     }
 
-    /** The number, which must be one and above 0. */
+    /** Returns the number; any other value, or one that is not above 0, is an error. */
     public double positive() {
         double number = number();
         if (number > 0) return number;
         throw new ConfigException(path + ": not above 0");
     }
 
-    /** The number, which must be above 0, or another where there is no value. */
-    public double positive(double absent) {
-        return present() ? positive() : absent;
+    /** Returns the number, which must be above 0, or the fallback if the value is absent. */
+    public double positive(double fallback) {
+        return present() ? positive() : fallback;
     }
 
-    /** The truth value, which must be one; false where there is no value. */
-    public boolean flagOrAbsent() {
+    /** Returns the boolean, or false if the value is absent; any other value is an error. */
+    public boolean booleanOrFalse() {
         if (present() && !(value instanceof Boolean)) throw new ConfigException(path + ": not true or false");
         return flag();
     }
 
-    /** True only where it says so. */
+    /** Returns whether the value is {@code true}; any other value counts as false. */
     public boolean flag() {
         return Boolean.TRUE.equals(value);
     }
 
-    /** The value as it was read: a map, list, text, number, boolean or null. */
+    /** Returns the value as it was parsed: a map, list, text, number, boolean or null. */
     public Object raw() {
         return value;
     }
--- a/src/main/java/maplerail/config/NameTables.java
+++ b/src/main/java/maplerail/config/NameTables.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The names behind the places by which the module knows zones, kinds, classes and tenants. */
+/** The names of zones, kinds, classes and tenants, which the decision module knows by their index in these lists. */
 public record NameTables(List<String> zones, List<String> kinds, List<String> classes, List<String> tenants) {
-    /** Reads them from the settings. */
+    /** Reads the names from the settings. */
     public static NameTables read(JsonValue settings) {
         return new NameTables(texts(settings.at("localities").list().stream()),
                 texts(settings.at("shapes").list().stream()),
@@ -13,7 +13,7 @@
                 texts(settings.at("parties").list().stream().map(party -> party.require("name"))));
     }
 
-    private static List<String> texts(Stream<JsonValue> of) {
-        return of.map(JsonValue::text).toList();
+    private static List<String> texts(Stream<JsonValue> values) {
+        return values.map(JsonValue::text).toList();
     }
 }
--- a/src/main/java/maplerail/config/SettingsReader.java
+++ b/src/main/java/maplerail/config/SettingsReader.java
@@ -4,19 +4,23 @@
 import java.util.List;
 import maplerail.Router;
 
-/** Turns the start-up settings into {@link Router.Settings}. */
+/** Parses the start-up settings into {@link Router.Settings}. */
 public final class SettingsReader {
     private SettingsReader() {}
 
-    /** The settings, and the place of the memory share in a load report (-1: not reported). */
+    /**
+     * The parsed settings.
+     *
+     * @param memoryColumn the column of the memory share in a load report; -1 if it is not reported
+     */
     public record Parsed(Router.Settings settings, int memoryColumn) {}
 
-    /** Reads the text of the settings. */
+    /** Parses the settings from JSON. */
     public static Parsed read(long seed, String text) {
         return read(seed, JsonValue.parseObject("settings", text));
     }
 
-    /** Reads the settings from a larger text that holds them. */
+    /** Reads the settings from a JSON object that is part of a larger configuration. */
     public static Parsed read(long seed, JsonValue root) {
         JsonValue family = root.require("familyInfo");
         return new Parsed(new Router.Settings(seed, (int) root.require("balancers").atLeast(1),
@@ -27,43 +31,43 @@
     }
 
     private static List<Router.RequestClass> classes(JsonValue root, JsonValue family) {
-        List<Router.RequestClass> out = new ArrayList<>();
+        List<Router.RequestClass> classes = new ArrayList<>();
         for (JsonValue lane : root.require("lanes").list()) {
-            int i = out.size();
-            double aimUsPerK = family.at("aimUsPer1000PromptTokens").at(i).atLeast(0, 0);
+            int index = classes.size();
+            double targetUsPer1000Tokens = family.at("aimUsPer1000PromptTokens").at(index).atLeast(0, 0);
             Router.Repeat repeat = repeat(lane.require("repeat"));
-            JsonValue window = repeat == Router.Repeat.KEYED ? lane.require("keyTtlMs") : lane.at("keyTtlMs");
-            out.add(new Router.RequestClass(lane.require("goalTimeMs").positive(), aimUsPerK / 1e6,
-                    lane.require("deadlineMs").positive(), family.at("tokenAimMs").at(i).atLeast(0, 0),
+            JsonValue repeatWindow = repeat == Router.Repeat.KEYED ? lane.require("keyTtlMs") : lane.at("keyTtlMs");
+            classes.add(new Router.RequestClass(lane.require("goalTimeMs").positive(), targetUsPer1000Tokens / 1e6,
+                    lane.require("deadlineMs").positive(), family.at("tokenAimMs").at(index).atLeast(0, 0),
                     lane.at("worth").atLeast(0, 1), lane.at("lateShare").atLeast(0, 0), repeat,
                     lane.at("keyScope").present() ? scope(lane.at("keyScope")) : Router.Scope.ALL,
-                    window.atLeast(0, 0)));
+                    repeatWindow.atLeast(0, 0)));
         }
-        if (out.isEmpty()) throw new ConfigException(root.at("lanes").path() + ": empty");
-        return List.copyOf(out);
+        if (classes.isEmpty()) throw new ConfigException(root.at("lanes").path() + ": empty");
+        return List.copyOf(classes);
     }
 
-    /** The repeat rule that a word stands for. */
-    public static Router.Repeat repeat(JsonValue word) {
-        return switch (word.text()) {
+    /** Returns the repeat rule that a configuration value names. */
+    public static Router.Repeat repeat(JsonValue name) {
+        return switch (name.text()) {
             case "pure" -> Router.Repeat.PURE;
             case "token" -> Router.Repeat.KEYED;
             case "side_effect" -> Router.Repeat.UNSAFE;
-            default -> throw unknown(word);
+            default -> throw unknown(name);
         };
     }
 
-    private static Router.Scope scope(JsonValue word) {
-        return switch (word.text()) {
+    private static Router.Scope scope(JsonValue name) {
+        return switch (name.text()) {
             case "all" -> Router.Scope.ALL;
             case "zone" -> Router.Scope.ZONE;
             case "cell" -> Router.Scope.CELL;
-            default -> throw unknown(word);
+            default -> throw unknown(name);
         };
     }
 
-    private static ConfigException unknown(JsonValue word) {
-        return new ConfigException(word.path() + ": unknown value '" + word.text() + "'");
+    private static ConfigException unknown(JsonValue name) {
+        return new ConfigException(name.path() + ": unknown value '" + name.text() + "'");
     }
 
     private static List<Router.Tenant> tenants(JsonValue root) {
@@ -72,25 +76,25 @@
     }
 
     private static List<Router.Kind> kinds(JsonValue family) {
-        List<Router.Kind> out = new ArrayList<>();
+        List<Router.Kind> kinds = new ArrayList<>();
         for (JsonValue role : family.require("kindRole").list()) {
-            Router.Role known = switch (role.text()) {
+            Router.Role parsedRole = switch (role.text()) {
                 case "read" -> Router.Role.READ;
                 case "write" -> Router.Role.WRITE;
                 case "both" -> Router.Role.BOTH;
                 default -> throw unknown(role);
             };
-            out.add(new Router.Kind(known, family.at("kindMemoryTokens").at(out.size()).atLeast(0, 0)));
+            kinds.add(new Router.Kind(parsedRole, family.at("kindMemoryTokens").at(kinds.size()).atLeast(0, 0)));
         }
-        if (out.isEmpty()) throw new ConfigException(family.at("kindRole").path() + ": empty");
-        return List.copyOf(out);
+        if (kinds.isEmpty()) throw new ConfigException(family.at("kindRole").path() + ": empty");
+        return List.copyOf(kinds);
     }
 
     private static Router.Limits limits(JsonValue root, JsonValue family) {
         JsonValue limits = root.require("limits");
-        return new Router.Limits((int) limits.require("sendCap").atLeast(1), limits.at("cancel").flagOrAbsent(),
-                limits.at("secondCopies").flagOrAbsent(), limits.at("retryAfter").flagOrAbsent(),
-                limits.at("maxRetryAfterMs").atLeast(0, 0), family.at("readInPlace").flagOrAbsent());
+        return new Router.Limits((int) limits.require("sendCap").atLeast(1), limits.at("cancel").booleanOrFalse(),
+                limits.at("secondCopies").booleanOrFalse(), limits.at("retryAfter").booleanOrFalse(),
+                limits.at("maxRetryAfterMs").atLeast(0, 0), family.at("readInPlace").booleanOrFalse());
     }
 
     private static Router.Rules rules(JsonValue root, JsonValue family) {
--- a/src/main/java/maplerail/config/package-info.java
+++ b/src/main/java/maplerail/config/package-info.java
@@ -1,2 +1,2 @@
-/** Configuration and settings: read once, checked, and turned into typed values. */
+/** Configuration and settings: parsed once, checked and turned into typed values. */
 package maplerail.config;
