--- a/src/main/java/maplerail/cli/ConfigurationReloader.java
+++ b/src/main/java/maplerail/cli/ConfigurationReloader.java
@@ -6,27 +6,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads a configuration again after a signal. A file that cannot be read then, as it is being replaced or as the
- * system's reads fail for a moment, is tried again for a while: the address that it would tell of may be the only one
- * that answers soon. What was read before stays until then, and a later signal takes the place of an earlier one.
+ * Reloads a configuration after a signal. A file that cannot be read, because it is being replaced or because reads
+ * fail for a moment, is retried for a while: the address in it may soon be the only one that answers. The previous
+ * configuration stays in use until then, and a later signal supersedes an earlier one.
  */
 final class ConfigurationReloader<T> {
-    /** From the signal: a new discovery counts as told 4 s after it. */
-    static final long TRY_FOR_MS = 3_500;
-    static final long PAUSE_MS = 100;
+    /** Counted from the signal. A gateway is expected to know a new discovery address 4 s after the signal. */
+    static final long RETRY_FOR_MS = 3_500;
+    static final long RETRY_INTERVAL_MS = 100;
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationReloader.class);
 
-    private final Supplier<T> reading;
-    private final Consumer<T> use;
-    private long signals;
+    private final Supplier<T> reader;
+    private final Consumer<T> consumer;
+    private long lastSignal;
 
-    /** Makes a reloader; {@code reading} throws a runtime exception while there is nothing to read. */
-    ConfigurationReloader(Supplier<T> reading, Consumer<T> use) {
-        this.reading = reading;
-        this.use = use;
+    /**
+     * Creates a reloader.
+     *
+     * @param reader reads the configuration; throws a runtime exception if it cannot be used
+     * @param consumer takes each configuration that was read
+     */
+    ConfigurationReloader(Supplier<T> reader, Consumer<T> consumer) {
+        this.reader = reader;
+        this.consumer = consumer;
     }
 
-    /** Reads and uses the configuration on a thread of its own. */
+    /** Reloads the configuration on a new thread. */
     void start() {
         Thread thread = new Thread(() -> {
             try {
@@ -39,23 +44,23 @@
         thread.start();
     }
 
-    /** Reads and uses the configuration, or tells why not; waits where it has to. */
+    /** Reloads the configuration, or logs why it cannot; blocks between retries. */
     synchronized void reload() throws InterruptedException {
-        long signal = ++signals;
-        String told = "";
-        for (long triedMs = 0; triedMs <= TRY_FOR_MS; triedMs += PAUSE_MS) {
+        long signal = ++lastSignal;
+        String lastError = "";
+        for (long elapsedMs = 0; elapsedMs <= RETRY_FOR_MS; elapsedMs += RETRY_INTERVAL_MS) {
             try {
-                T news = reading.get();
-                use.accept(news);
+                T configuration = reader.get();
+                consumer.accept(configuration);
                 return;
             } catch (RuntimeException e) {
-                String why = String.valueOf(e.getMessage());
-                if (!why.equals(told)) LOG.warn("the new configuration is not used: {}", why);
-                told = why;
+                String error = String.valueOf(e.getMessage());
+                if (!error.equals(lastError)) LOG.warn("the new configuration is not used: {}", error);
+                lastError = error;
             }
-            wait(PAUSE_MS); // lets a later signal in
-            if (signal != signals) return;
+            wait(RETRY_INTERVAL_MS); // releases the monitor, so that a later signal can take over
+            if (signal != lastSignal) return;
         }
-        LOG.warn("the new configuration is given up; the one before stays");
+        LOG.warn("giving up on the new configuration; the previous one stays in use");
     }
 }
--- a/src/main/java/maplerail/cli/Main.java
+++ b/src/main/java/maplerail/cli/Main.java
@@ -23,9 +23,9 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** The command line. */
+/** The command line interface. */
 public final class Main {
-    private static final int BUFFER = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 16;
     private static final String USAGE = """
             usage: maplerail COMMAND [--config FILE] [--tools FILE]
               serve          run a gateway; its configuration is FILE, else $RELAY_CONFIG;
@@ -39,16 +39,16 @@
 
     private Main() {}
 
-    /** Runs a command and exits with its status: 0 done, 1 failed, 2 bad usage or configuration. */
+    /** Runs a command and exits with its status: 0 for success, 1 for failure, 2 for bad usage or configuration. */
     public static void main(String[] args) throws Exception {
-        System.setProperty("org.jboss.logging.provider", "slf4j"); // XNIO and Undertow log where we do
+        System.setProperty("org.jboss.logging.provider", "slf4j"); // XNIO and Undertow log through the same library
         int status = run(args, System.getenv(), System.out, System.err);
         System.out.flush();
         System.err.flush();
         if (status >= 0) System.exit(status);
     }
 
-    /** Runs a command; -1 for a program that goes on and ends by itself. */
+    /** Runs a command and returns its exit status, or -1 if the program goes on and exits by itself. */
     static int run(String[] args, Map<String, String> environment, PrintStream out, PrintStream errors)
             throws Exception {
         String command = args.length == 0 ? "" : args[0];
@@ -57,23 +57,24 @@
             options.addOption("c", "config", true, "the configuration file");
             options.addOption("t", "tools", true, "the operator's file for tool calls");
         }
-        CommandLine line;
+        CommandLine commandLine;
         try {
-            String[] rest = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
-            line = new DefaultParser().parse(options, rest);
-            if (!line.getArgList().isEmpty()) throw new ParseException("what is '" + line.getArgList().get(0) + "'?");
+            String[] arguments = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
+            commandLine = new DefaultParser().parse(options, arguments);
+            if (!commandLine.getArgList().isEmpty())
+                throw new ParseException("unexpected argument '" + commandLine.getArgList().get(0) + "'");
         } catch (ParseException e) {
             errors.print("maplerail: " + e.getMessage() + "\n" + USAGE);
             return 2;
         }
         switch (command) {
             case "serve", "check-config" -> {
-                return configured(command, line.getOptionValue("config", environment.get("RELAY_CONFIG")),
-                        line.getOptionValue("tools"), environment, out, errors);
+                return runConfigured(command, commandLine.getOptionValue("config", environment.get("RELAY_CONFIG")),
+                        commandLine.getOptionValue("tools"), environment, out, errors);
             }
             case "adapter" -> {
-                return Adapter.run(new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER),
-                        new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER), errors);
+                return Adapter.run(new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER_BYTES),
+                        new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER_BYTES), errors);
             }
             case "rehearse" -> {
                 Rehearsal.run();
@@ -95,24 +96,24 @@
         }
     }
 
-    private static int configured(String command, String file, String toolsFile,
+    private static int runConfigured(String command, String file, String toolsFile,
             Map<String, String> environment, PrintStream out, PrintStream errors) throws Exception {
         NodeConfig config;
         ToolsConfig tools;
         try {
-            if (file == null) throw new ConfigException("RELAY_CONFIG: missing, and no --config");
-            config = NodeConfig.read(read(file), environment);
-            tools = toolsFile == null ? null : ToolsConfig.read(read(toolsFile));
+            if (file == null) throw new ConfigException("RELAY_CONFIG: missing, and --config is not given");
+            config = NodeConfig.read(readFile(file), environment);
+            tools = toolsFile == null ? null : ToolsConfig.read(readFile(toolsFile));
         } catch (ConfigException e) {
             errors.println("maplerail: " + e.getMessage());
             return 2;
         }
         if (command.equals("check-config")) {
-            out.println("maplerail: the configuration of " + config.name() + " can be used");
+            out.println("maplerail: the configuration of " + config.name() + " is valid");
             return 0;
         }
         Gateway gateway = new Gateway(config, tools);
-        reloadAtSignals(gateway, file, toolsFile, environment);
+        reloadOnSighup(gateway, file, toolsFile, environment);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             gateway.drain();
             try {
@@ -125,21 +126,23 @@
         return -1;
     }
 
-    /** Reads both files again at each signal, each on its own: what is wrong with one does not hold up the other. */
-    private static void reloadAtSignals(Gateway gateway, String file, String toolsFile,
+    /** Reloads both files at each SIGHUP, independently: an error in one does not delay the other. */
+    private static void reloadOnSighup(Gateway gateway, String file, String toolsFile,
             Map<String, String> environment) {
-        // The environment is as old as the process: after a new file it no longer comes first.
-        Map<String, String> left = new HashMap<>(environment);
-        left.remove("RELAY_DISCOVERY");
+        // The environment dates from the start of the process, so a new file takes precedence over it.
+        Map<String, String> reloadEnvironment = new HashMap<>(environment);
+        reloadEnvironment.remove("RELAY_DISCOVERY");
         List<ConfigurationReloader<?>> reloaders = new ArrayList<>();
-        reloaders.add(new ConfigurationReloader<>(() -> NodeConfig.read(read(file), left), gateway::reload));
+        reloaders.add(
+                new ConfigurationReloader<>(() -> NodeConfig.read(readFile(file), reloadEnvironment), gateway::reload));
         if (toolsFile != null) {
-            reloaders.add(new ConfigurationReloader<>(() -> ToolsConfig.read(read(toolsFile)), gateway::reloadTools));
+            reloaders.add(
+                    new ConfigurationReloader<>(() -> ToolsConfig.read(readFile(toolsFile)), gateway::reloadTools));
         }
-        SighupHandler.then(() -> reloaders.forEach(ConfigurationReloader::start));
+        SighupHandler.install(() -> reloaders.forEach(ConfigurationReloader::start));
     }
 
-    private static String read(String file) {
+    private static String readFile(String file) {
         try {
             return Files.readString(Path.of(file));
         } catch (IOException | java.nio.file.InvalidPathException e) {
--- a/src/main/java/maplerail/cli/Rehearsal.java
+++ b/src/main/java/maplerail/cli/Rehearsal.java
@@ -14,8 +14,8 @@
 import maplerail.core.Lifecycle.Phase;
 
 /**
- * A gateway that asks itself a few things and stops. The build runs it under the virtual machine's recorder of
- * classes: a gateway that starts from the record is ready in less time, which counts when it is restarted.
+ * Runs a gateway that serves a few requests to itself and stops. The build runs it to record the loaded classes in an
+ * archive for class data sharing: a gateway that starts from the archive is ready sooner, which matters on a restart.
  */
 final class Rehearsal {
     private static final String BODY = "{\"stream\":true}";
@@ -29,16 +29,16 @@
             String config = new String(text.readAllBytes(), StandardCharsets.UTF_8);
             Gateway gateway = new Gateway(NodeConfig.read(config.replace("127.0.0.1:9\"", "127.0.0.1:"
                     + engine.getLocalPort() + "\""), Map.of()), null);
-            Thread serving = new Thread(() -> serve(engine), "engine");
-            serving.setDaemon(true);
-            serving.start();
+            Thread engineThread = new Thread(() -> serve(engine), "engine");
+            engineThread.setDaemon(true);
+            engineThread.start();
             gateway.start();
             while (gateway.phase() != Phase.READY) Thread.onSpinWait();
-            String closing = " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: ";
-            ask(gateway.address(), "GET /-/ready" + closing + "0\r\n\r\n");
-            ask(gateway.address(), "POST /" + closing + "0\r\n\r\n");
+            String headerStart = " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: ";
+            send(gateway.address(), "GET /-/ready" + headerStart + "0\r\n\r\n");
+            send(gateway.address(), "POST /" + headerStart + "0\r\n\r\n");
             for (int i = 0; i < ROUNDS; i++) {
-                ask(gateway.address(), "POST /v1/chat/completions" + closing + BODY.length() + "\r\nReq-Id: r" + i
+                send(gateway.address(), "POST /v1/chat/completions" + headerStart + BODY.length() + "\r\nReq-Id: r" + i
                         + "\r\nReq-Kind: a\r\nReq-Owner: b\r\nReq-Key: 7f\r\nReq-Deadline: 0.5\r\n"
                         + "Req-Extra: prefix=5c,prompt_len=900,prefix_len=500,max_out=90\r\n\r\n" + BODY);
             }
@@ -47,14 +47,14 @@
         }
     }
 
-    private static void ask(InetSocketAddress at, String request) throws IOException {
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+    private static void send(InetSocketAddress address, String request) throws IOException {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             socket.getInputStream().readAllBytes();
         }
     }
 
-    /** Answers each connection's one request by turns as a reader and as a writer, and once as neither. */
+    /** Answers the one request of each connection, in turn with an error, as a writer and twice as a reader. */
     private static void serve(ServerSocket engine) {
         for (int turn = 0;; turn++) {
             try (Socket socket = engine.accept()) {
--- a/src/main/java/maplerail/cli/ToolServices.java
+++ b/src/main/java/maplerail/cli/ToolServices.java
@@ -19,12 +19,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The tool servers' side: a broker and a module for each service, and what finds their servers. */
+/** The tool services: a broker with a decision module for each of them, and the discovery of their servers. */
 final class ToolServices {
     private static final Logger LOG = LoggerFactory.getLogger(ToolServices.class);
-    private static final double IDLE_MS = 10_000; // tool servers name no time after which they close
-    private static final double CONNECT_MS = 500;
-    private static final int MOST_OPEN = 1_000;
+    private static final double IDLE_TIMEOUT_MS = 10_000; // tool servers state no time after which they close
+    private static final double CONNECT_TIMEOUT_MS = 500;
+    private static final int MAX_OPEN_CALLS = 1_000;
 
     private final ToolsConfig config;
     private final XnioLoop loop;
@@ -34,12 +34,12 @@
     private final Map<String, ToolClient> clients = new TreeMap<>();
 
     ToolServices(ToolsConfig config, XnioLoop loop, io.undertow.connector.ByteBufferPool buffers, long seed,
-            int mostConnections) {
+            int maxConnections) {
         this.config = config;
         this.loop = loop;
-        this.pool = new ConnectionPool(loop, buffers, IDLE_MS, CONNECT_MS, mostConnections);
+        this.pool = new ConnectionPool(loop, buffers, IDLE_TIMEOUT_MS, CONNECT_TIMEOUT_MS, maxConnections);
         Router.Settings settings = config.settings(seed);
-        Quotas quotas = new Quotas(config.budgets(MOST_OPEN), loop, line -> LOG.info("{}", line));
+        Quotas quotas = new Quotas(config.budgets(MAX_OPEN_CALLS), loop, line -> LOG.info("{}", line));
         for (String name : config.services().keySet()) {
             ToolClient client = new ToolClient(pool);
             clients.put(name, client);
@@ -52,31 +52,31 @@
         return brokers;
     }
 
-    /** Starts to look for the servers; runs on the loop. */
+    /** Starts the discovery of servers; must be called on the loop. */
     void start() {
         config.services().forEach((name, service) -> {
-            if (!service.servers().isEmpty()) hear(name, listed(service.servers()));
+            if (!service.servers().isEmpty()) updateServers(name, staticList(service.servers()));
         });
         if (config.consul() == null) return;
-        Map<String, ToolsConfig.Service> asked = new HashMap<>(config.services());
-        asked.values().removeIf(service -> !service.servers().isEmpty());
-        watch = new ConsulWatch(pool, loop, config.consul(), asked.keySet(), this::hear);
+        Map<String, ToolsConfig.Service> consulServices = new HashMap<>(config.services());
+        consulServices.values().removeIf(service -> !service.servers().isEmpty());
+        watch = new ConsulWatch(pool, loop, config.consul(), consulServices.keySet(), this::updateServers);
         watch.start();
     }
 
-    /** Takes what may change while it runs from a new file: where Consul is. */
-    void reload(ToolsConfig news) {
-        if (watch != null && news.consul() != null) watch.switchAgent(news.consul());
+    /** Applies the part of a new configuration that may change at run time: the address of Consul. */
+    void reload(ToolsConfig newConfig) {
+        if (watch != null && newConfig.consul() != null) watch.switchAgent(newConfig.consul());
     }
 
-    private static EngineList listed(List<InetSocketAddress> servers) {
+    private static EngineList staticList(List<InetSocketAddress> servers) {
         Map<Long, InetSocketAddress> addresses = new HashMap<>();
         for (InetSocketAddress server : servers) addresses.put(StableIds.ofEngine(server.toString()), server);
         return new EngineList(0, true, addresses.keySet().stream().sorted()
                 .map(id -> new Router.Member(id, Router.State.READY, 0, 0, 0, 1, 0)).toList(), addresses);
     }
 
-    private void hear(String service, EngineList list) {
+    private void updateServers(String service, EngineList list) {
         clients.get(service).addAddresses(list.addresses());
         brokers.get(service).updateEngines(new Router.Members(Router.ListKind.WHOLE, list.version(), list.members()));
     }
--- a/src/main/java/maplerail/cli/package-info.java
+++ b/src/main/java/maplerail/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line, start, signals and drain. */
+/** The command line, and the start-up, signals and drain of a gateway. */
 package maplerail.cli;
