--- a/src/main/java/maplerail/core/ActiveRequest.java
+++ b/src/main/java/maplerail/core/ActiveRequest.java
@@ -12,32 +12,34 @@
 import maplerail.policy.RequestState;
 import maplerail.policy.StateLease;
 
-/** A request that is open: its attempts, its answer and what engines may hold for it. */
+/** An open request with its attempts, its answer and the states that engines may hold for it. */
 final class ActiveRequest {
-    /** For which a read may go on that its reader has begun. */
-    private static final double READ_MS = 1_600;
-    /** After a cut, for which a read may wait in its reader's queue; few deadlines are as long. */
-    private static final double MOST_QUEUED_MS = 5_000;
+    /** Longest time that a read may take once its reader has started it. */
+    private static final double MAX_READ_MS = 1_600;
+    /** Longest time that an aborted read may wait in its reader's queue; few deadlines are this long. */
+    private static final double MAX_QUEUED_MS = 5_000;
 
     final long number;
     final ServiceRequest request;
     final Caller caller;
     final double deadlineMs;
     final List<Attempt> attempts = new ArrayList<>();
-    /** Engines at which a state may wait, and the leases of those that said so. */
-    final Set<Long> mayHold = new LinkedHashSet<>();
-    final Map<Long, StateLease> holds = new LinkedHashMap<>();
-    /** Readers whose states were let go while a write was out that may have waited for them. */
-    final Set<Long> reclaimed = new LinkedHashSet<>();
+    /** Engines that may hold a state for this request. */
+    final Set<Long> possibleHolders = new LinkedHashSet<>();
+    /** Leases of the states that readers reported to hold, by engine. */
+    final Map<Long, StateLease> leases = new LinkedHashMap<>();
+    /** Readers whose states were released while a write was in flight that may have needed them. */
+    final Set<Long> reclaimedEngines = new LinkedHashSet<>();
     boolean admitted;
     boolean answered;
-    /** When a read was last cut off or broke at an engine, which may read on and hold a state in the end. */
-    final Map<Long, Double> cutReadsMs = new LinkedHashMap<>();
-    /** Engines at which what a cut read leaves is let go again and again. */
-    final Set<Long> repeating = new LinkedHashSet<>();
-    /** The attempt whose events the caller gets. */
+    /** When a read was last aborted or reset, by engine. The engine may finish the read and hold its state. */
+    final Map<Long, Double> abortedReadTimesMs = new LinkedHashMap<>();
+    /** Engines to which releases are repeated because an aborted read may leave a state there. */
+    final Set<Long> repeatingReleases = new LinkedHashSet<>();
+    /** The attempt whose events are passed to the caller, or null. */
     Attempt winner;
-    Loop.ScheduledTask guard;
+    /** Ends the request shortly after its deadline if the module has not done so. */
+    Loop.ScheduledTask deadlineGuard;
 
     ActiveRequest(long number, ServiceRequest request, Caller caller, double deadlineMs) {
         this.number = number;
@@ -46,72 +48,77 @@
         this.deadlineMs = deadlineMs;
     }
 
-    /** What the rules have to know of it, by what really went out and came back. */
-    RequestState state(List<Router.RequestClass> classes) {
+    /** The request as the protocol rules see it, based on what was actually sent and received. */
+    RequestState toRequestState(List<Router.RequestClass> classes) {
         Router.RequestClass requestClass = request.kind() < classes.size() ? classes.get(request.kind()) : null;
         return new RequestState(requestClass, answered || winner != null, deadlineMs,
-                attempts.stream().map(Attempt::prior).toList());
+                attempts.stream().map(Attempt::toPriorAttempt).toList());
     }
 
-    boolean anyOut() {
+    boolean hasAttemptInFlight() {
         return attempts.stream().anyMatch(attempt -> !attempt.ended);
     }
 
     /**
-     * Until when a read that was cut off at an engine may end there all the same; never, if none was. One that waits in
-     * its queue may begin as long as the time runs that it was told.
+     * Returns the latest time at which an aborted read may still finish at an engine, or negative infinity if no read
+     * was aborted there. A read that waits in the engine's queue may start until the deadline that the engine was
+     * given.
      */
-    double cutReadMayEndUntilMs(long engine) {
-        Double cutMs = cutReadsMs.get(engine);
-        if (cutMs == null) return Double.NEGATIVE_INFINITY;
-        return Math.max(cutMs, Math.min(deadlineMs, cutMs + MOST_QUEUED_MS)) + READ_MS;
+    double latestAbortedReadEndMs(long engine) {
+        Double abortedAtMs = abortedReadTimesMs.get(engine);
+        if (abortedAtMs == null) return Double.NEGATIVE_INFINITY;
+        return Math.max(abortedAtMs, Math.min(deadlineMs, abortedAtMs + MAX_QUEUED_MS)) + MAX_READ_MS;
     }
 
-    /** True while an attempt is out whose answer has begun to come. */
+    /** True while an attempt is in flight whose answer has begun to arrive. */
     boolean answerBegun() {
-        return attempts.stream().anyMatch(attempt -> !attempt.ended && attempt.sending != null
-                && (attempt.heardMs > 0 || attempt.sending.answerBegun()));
+        return attempts.stream().anyMatch(attempt -> !attempt.ended && attempt.handle != null
+                && (attempt.lastEventMs > 0 || attempt.handle.answerBegun()));
     }
 
-    /** Each attempt with engine, start, outcome and length, and how far one that is out has come; for the log. */
+    /**
+     * Describes each attempt for the log: engine, start, outcome, duration and, for writes, the progress of its call.
+     * Times are in ms; starts are relative to when the request was sent.
+     */
     String history(double nowMs) {
-        double takenMs = deadlineMs - request.budgetMs();
+        double requestSentMs = deadlineMs - request.budgetMs();
         StringBuilder line = new StringBuilder();
         for (Attempt attempt : attempts) {
-            line.append(attempt.reader ? " read " : " write ").append(Long.toHexString(attempt.engine)).append(" at ")
-                    .append(Math.round(attempt.sentMs - takenMs)).append(' ')
-                    .append(attempt.outcome == null ? "out" : attempt.outcome).append(" in ")
+            line.append(attempt.atReader ? " read " : " write ").append(Long.toHexString(attempt.engine)).append(" at ")
+                    .append(Math.round(attempt.sentMs - requestSentMs)).append(' ')
+                    .append(attempt.outcome == null ? "pending" : attempt.outcome).append(" after ")
                     .append(Math.round((attempt.ended ? attempt.endedMs : nowMs) - attempt.sentMs));
-            if (!attempt.reader && attempt.sending != null)
-                line.append(" (").append(attempt.sending.trace()).append(')');
+            if (!attempt.atReader && attempt.handle != null)
+                line.append(" (").append(attempt.handle.trace()).append(')');
             line.append(';');
         }
         return line.toString();
     }
 
-    /** One attempt. */
+    /** One attempt at an engine. */
     static final class Attempt {
         final ActiveRequest active;
         final int number;
         final long engine;
-        /** Its engine as it was listed when the attempt was made. */
+        /** The engine as listed when the attempt was made. */
         final ProtocolRules.Target target;
-        final boolean reader;
+        final boolean atReader;
         final double sentMs;
-        EngineTransport.AttemptHandle sending;
+        EngineTransport.AttemptHandle handle;
         Loop.ScheduledTask timeout;
-        /** When the last event came, and whether its caller asked for a pause. */
-        double heardMs;
+        /** When the last event arrived or the caller last ended a pause; 0 if neither has happened. */
+        double lastEventMs;
+        /** Whether the caller has asked for a pause. */
         boolean paused;
-        /** Called off, and left open until what is held for the request can be let go. */
-        boolean lingers;
+        /** Cancelled, but kept open until the states held for the request can be released. */
+        boolean lingering;
         boolean ended;
-        /** How and when it ended. */
+        /** How the attempt ended; null while it is in flight. */
         Router.Outcome outcome;
         double endedMs;
 
-        /** As the rules see it. */
-        PriorAttempt prior() {
+        /** The attempt as the protocol rules see it. */
+        PriorAttempt toPriorAttempt() {
             return new PriorAttempt(target, sentMs, outcome);
         }
 
@@ -120,7 +127,7 @@
             this.number = active.attempts.size();
             this.engine = engine;
             this.target = target;
-            this.reader = target.role() == Router.Role.READ;
+            this.atReader = target.role() == Router.Role.READ;
             this.sentMs = sentMs;
         }
     }
--- a/src/main/java/maplerail/core/Admission.java
+++ b/src/main/java/maplerail/core/Admission.java
@@ -3,24 +3,26 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** First stage: gives each request its number and enters it in the registry. */
+/** First stage: assigns each request a number and adds it to the registry. */
 final class Admission {
     private final Loop loop;
     private final RequestRegistry registry;
-    private final Map<String, ActiveRequest> open = new HashMap<>();
-    private long last;
+    private final Map<String, ActiveRequest> openById = new HashMap<>();
+    private long lastNumber;
 
     Admission(Loop loop, RequestRegistry registry) {
         this.loop = loop;
         this.registry = registry;
     }
 
-    /** The open request, or null for an id that is open already: two of one id could not be told apart by engines. */
-    ActiveRequest take(ServiceRequest request, Caller caller) {
-        if (open.containsKey(request.id())) return null;
-        ActiveRequest active = new ActiveRequest(++last, request, caller, request.deadlineMs(loop.nowMs()));
-        open.put(request.id(), active);
-        registry.open(active, () -> open.remove(request.id()));
+    /**
+     * Opens a request. Returns null if a request with the same id is open, as engines could not tell the two apart.
+     */
+    ActiveRequest admit(ServiceRequest request, Caller caller) {
+        if (openById.containsKey(request.id())) return null;
+        ActiveRequest active = new ActiveRequest(++lastNumber, request, caller, request.deadlineMs(loop.nowMs()));
+        openById.put(request.id(), active);
+        registry.open(active, () -> openById.remove(request.id()));
         return active;
     }
 }
--- a/src/main/java/maplerail/core/AttemptRunner.java
+++ b/src/main/java/maplerail/core/AttemptRunner.java
@@ -9,41 +9,42 @@
 import maplerail.policy.ProtocolRules;
 import maplerail.policy.ProtocolRules.Reason;
 
-/** Makes the attempts that the module asks for, ends them, and tells how each one ended. */
+/** Makes the attempts that the module orders, ends them and reports their outcomes to the module. */
 final class AttemptRunner {
-    /** Without an event, after which a stream has stopped: clients are owed its end within 5 s. */
-    private static final double STALL_MS = 4_500;
-    /** That an attempt is left open after its request's answer while the reader of its state is out of reach. */
-    private static final double LINGER_MS = 8_000;
-    private static final Router.Load UNTOLD = new Router.Load(Double.NaN);
+    /** Time without an event after which a stream counts as stalled; clients must be told within 5 s. */
+    private static final double STREAM_STALL_TIMEOUT_MS = 4_500;
+    /**
+     * Longest time that an attempt stays open after its request's answer while the reader of its state is unreachable.
+     */
+    private static final double MAX_LINGER_MS = 8_000;
+    private static final Router.Load UNKNOWN_LOAD = new Router.Load(Double.NaN);
 
-    private final EngineTransport engines;
+    private final EngineTransport transport;
     private final Loop loop;
     private final Fleet fleet;
     private final RequestRegistry registry;
     private final Relay relay;
     private final Router.Settings settings;
-    private final HeldStates held;
+    private final HeldStates heldStates;
     private final RepeatLog repeats;
     private final RuleMonitor monitor;
     private final ServiceCounters counters;
     private final FailureLog failureLog;
     private final Consumer<String> log;
-    private final Set<ActiveRequest> touched = new LinkedHashSet<>();
+    private final Set<ActiveRequest> requestsToSettle = new LinkedHashSet<>();
     private DecisionLoop decisions;
-    private Consumer<ActiveRequest> gone;
+    private Consumer<ActiveRequest> disconnectHandler;
 
-    AttemptRunner(EngineTransport engines, Loop loop, Fleet fleet, RequestRegistry registry, HeldStates held,
-            Relay relay,
-            Router.Settings settings, RuleMonitor monitor, ServiceCounters counters, FailureLog failureLog,
-            Consumer<String> log) {
-        this.engines = engines;
+    AttemptRunner(EngineTransport transport, Loop loop, Fleet fleet, RequestRegistry registry, HeldStates heldStates,
+            Relay relay, Router.Settings settings, RuleMonitor monitor, ServiceCounters counters,
+            FailureLog failureLog, Consumer<String> log) {
+        this.transport = transport;
         this.loop = loop;
         this.fleet = fleet;
         this.registry = registry;
         this.relay = relay;
         this.settings = settings;
-        this.held = held;
+        this.heldStates = heldStates;
         this.repeats = new RepeatLog(settings.classes(), counters, log);
         this.monitor = monitor;
         this.counters = counters;
@@ -51,234 +52,238 @@
         this.log = log;
     }
 
-    /** Where attempts' ends are told, and who hears of a caller that is found to have left. */
-    void use(DecisionLoop to, Consumer<ActiveRequest> whenGone) {
-        decisions = to;
-        gone = whenGone;
+    /** Sets the receiver of attempt events and the handler for callers that are found to have disconnected. */
+    void connect(DecisionLoop decisionLoop, Consumer<ActiveRequest> onDisconnect) {
+        decisions = decisionLoop;
+        disconnectHandler = onDisconnect;
     }
 
-    void attempt(Router.Send order) {
+    void startAttempt(Router.Send order) {
         ActiveRequest active = registry.find(order.id());
         if (active == null) return;
         ActiveRequest.Attempt attempt = new ActiveRequest.Attempt(active, order.engine(),
                 fleet.target(order.engine()), loop.nowMs());
-        double until = order.deadlineMs() > 0 ? Math.min(order.deadlineMs(), active.deadlineMs) : active.deadlineMs;
-        Reason verdict = verdict(active, order.engine());
-        if (verdict == Reason.ALLOWED && until <= loop.nowMs()) verdict = Reason.DEADLINE_PASSED;
+        double untilMs = order.deadlineMs() > 0 ? Math.min(order.deadlineMs(), active.deadlineMs) : active.deadlineMs;
+        Reason verdict = checkSend(active, order.engine());
+        if (verdict == Reason.ALLOWED && untilMs <= loop.nowMs()) verdict = Reason.DEADLINE_PASSED;
         active.attempts.add(attempt);
         if (verdict != Reason.ALLOWED) {
             withhold(attempt, verdict);
-            ended(attempt, Outcome.NOT_SENT, 0);
+            onEnded(attempt, Outcome.NOT_SENT, 0);
             return;
         }
-        repeats.tell(attempt);
-        attempt.timeout = loop.schedule(until, () -> cut(attempt, Outcome.TIMEOUT));
-        attempt.sending = engines.send(order.engine(), active.request, until,
+        repeats.logRepeats(attempt);
+        attempt.timeout = loop.schedule(untilMs, () -> abort(attempt, Outcome.TIMEOUT));
+        attempt.handle = transport.send(order.engine(), active.request, untilMs,
                 () -> mayBegin(attempt, order.startByMs()),
                 new EngineTransport.AnswerListener() {
                     @Override
                     public void event(byte[] event) {
-                        if (!attempt.ended) heard(attempt, event);
+                        if (!attempt.ended) onEvent(attempt, event);
                     }
 
                     @Override
                     public void rejected() {
-                        if (!attempt.ended) reject(attempt);
+                        if (!attempt.ended) onRejected(attempt);
                     }
 
                     @Override
-                    public void ended(Outcome outcome, double kept) {
-                        AttemptRunner.this.ended(attempt, outcome, kept);
+                    public void ended(Outcome outcome, double cachedTokens) {
+                        AttemptRunner.this.onEnded(attempt, outcome, cachedTokens);
                     }
                 });
-        if (order.startByMs() < until) loop.schedule(order.startByMs(), () -> withdraw(attempt));
+        if (order.startByMs() < untilMs) loop.schedule(order.startByMs(), () -> withdraw(attempt));
     }
 
-    /** Whether an attempt may go out now, by what has really happened; looks whether its client is still there. */
-    private Reason verdict(ActiveRequest active, long engine) {
-        if (!active.answered && active.caller.hasDisconnected()) gone.accept(active);
-        return ProtocolRules.checkSend(active.state(settings.classes()), fleet.target(engine), settings.limits(),
-                loop.nowMs());
+    /** Checks whether an attempt may be sent now. Also checks whether the client is still connected. */
+    private Reason checkSend(ActiveRequest active, long engine) {
+        if (!active.answered && active.caller.hasDisconnected()) disconnectHandler.accept(active);
+        return ProtocolRules.checkSend(active.toRequestState(settings.classes()), fleet.target(engine),
+                settings.limits(), loop.nowMs());
     }
 
     /**
-     * Asked right before an attempt that has waited for its connection is written. Guards against a client that left
-     * in the same moment, against news of its engine that came meanwhile, and against a repeat after its window, as the
-     * timer that withdraws it may be late.
+     * Checks an attempt that had to wait for its connection, right before its first byte is written. Guards against a
+     * client that has just disconnected, against an engine that has left service meanwhile, and against a repeat after
+     * its repeat window, as the timer that withdraws the attempt may be late.
      */
     private boolean mayBegin(ActiveRequest.Attempt attempt, double startByMs) {
         ActiveRequest active = attempt.active;
-        if (!active.answered && active.caller.hasDisconnected()) gone.accept(active);
+        if (!active.answered && active.caller.hasDisconnected()) disconnectHandler.accept(active);
         if (attempt.ended) return false;
-        Reason verdict = ProtocolRules.checkBegin(active.state(settings.classes()), fleet.target(attempt.engine),
-                loop.nowMs());
+        Reason verdict = ProtocolRules.checkBegin(active.toRequestState(settings.classes()),
+                fleet.target(attempt.engine), loop.nowMs());
         if (verdict == Reason.ALLOWED && loop.nowMs() >= startByMs) verdict = Reason.REPEAT_WINDOW_OVER;
         if (verdict == Reason.ALLOWED) return true;
         counters.count(verdict);
-        cut(attempt, Outcome.CANCELLED);
+        abort(attempt, Outcome.CANCELLED);
         return false;
     }
 
-    private void withhold(ActiveRequest.Attempt attempt, Reason why) {
-        counters.count(why);
-        // The module can't know yet that a client left or its time ran out in this very step, nor news that it has not
-        // been told; all else it should not have ordered.
-        boolean ordinary = why == Reason.REQUEST_OVER || why == Reason.DEADLINE_PASSED
-                || why == Reason.ENGINE_NOT_IN_SERVICE;
-        if (!ordinary) {
-            monitor.breach(RuleMonitor.Breach.SEND_WITHHELD, attempt.active.request.id(),
-                    why + " at " + Long.toHexString(attempt.engine));
+    private void withhold(ActiveRequest.Attempt attempt, Reason reason) {
+        counters.count(reason);
+        // The module can't know yet that a client has disconnected, that a deadline has passed during this step, or of
+        // a list change that has not been delivered to it. Any other reason is a fault of the module.
+        boolean expected = reason == Reason.REQUEST_OVER || reason == Reason.DEADLINE_PASSED
+                || reason == Reason.ENGINE_NOT_IN_SERVICE;
+        if (!expected) {
+            monitor.report(RuleMonitor.Breach.SEND_WITHHELD, attempt.active.request.id(),
+                    reason + " at " + Long.toHexString(attempt.engine));
         }
     }
 
-    /** Takes an attempt back while not a byte of it has gone out. */
+    /** Aborts an attempt as unreachable if none of its bytes have been sent. */
     private void withdraw(ActiveRequest.Attempt attempt) {
-        if (!attempt.ended && attempt.sending.unsent()) cut(attempt, Outcome.UNREACHABLE);
+        if (!attempt.ended && attempt.handle.unsent()) abort(attempt, Outcome.UNREACHABLE);
     }
 
-    private void heard(ActiveRequest.Attempt attempt, byte[] event) {
-        if (attempt.reader) {
-            cut(attempt, Outcome.RESET);
+    private void onEvent(ActiveRequest.Attempt attempt, byte[] event) {
+        if (attempt.atReader) {
+            abort(attempt, Outcome.RESET);
             return;
         }
         ActiveRequest active = attempt.active;
-        attempt.heardMs = loop.nowMs();
+        attempt.lastEventMs = loop.nowMs();
         if (active.winner == null && !active.answered) {
             active.winner = attempt;
             attempt.timeout.cancel();
-            watch(attempt, STALL_MS);
-            active.guard.cancel();
-            held.taken(active);
-            decisions.tell(new Router.FirstToken(active.number, attempt.number, attempt.engine,
+            scheduleStallCheck(attempt, STREAM_STALL_TIMEOUT_MS);
+            active.deadlineGuard.cancel();
+            heldStates.onStreamStarted(active);
+            decisions.deliver(new Router.FirstToken(active.number, attempt.number, attempt.engine,
                     loop.nowMs() - attempt.sentMs));
         }
-        if (active.winner == attempt) relay.event(attempt, event);
-        else cut(attempt, Outcome.CANCELLED);
+        if (active.winner == attempt) relay.onEvent(attempt, event);
+        else abort(attempt, Outcome.CANCELLED);
     }
 
     /**
-     * Guards against an engine that falls silent in the middle of a stream: its connection stays open, no deadline
-     * runs any more, and the client would wait for good instead of asking for the rest elsewhere.
+     * Schedules a check for a stalled stream. Guards against an engine that falls silent in the middle of a stream: its
+     * connection stays open and no deadline applies any more, so the client would wait forever instead of requesting
+     * the rest elsewhere.
      */
-    private void watch(ActiveRequest.Attempt attempt, double afterMs) {
+    private void scheduleStallCheck(ActiveRequest.Attempt attempt, double afterMs) {
         attempt.timeout = loop.schedule(loop.nowMs() + afterMs, () -> {
-            double quietMs = attempt.paused ? 0 : loop.nowMs() - attempt.heardMs;
-            if (quietMs >= STALL_MS) cut(attempt, Outcome.RESET);
-            else if (!attempt.ended) watch(attempt, STALL_MS - quietMs);
+            double silentMs = attempt.paused ? 0 : loop.nowMs() - attempt.lastEventMs;
+            if (silentMs >= STREAM_STALL_TIMEOUT_MS) abort(attempt, Outcome.RESET);
+            else if (!attempt.ended) scheduleStallCheck(attempt, STREAM_STALL_TIMEOUT_MS - silentMs);
         });
     }
 
     /**
-     * Guards against a request that no engine can use: sent to one after another it would use up all its attempts,
-     * and the module would hold each of them to be failing.
+     * Fails a request that an engine rejected as invalid. Guards against sending it to one engine after another, which
+     * would use up all its attempts and make the module count each engine as failing.
      */
-    private void reject(ActiveRequest.Attempt attempt) {
+    private void onRejected(ActiveRequest.Attempt attempt) {
         ActiveRequest active = attempt.active;
-        boolean last = registry.answer(active);
-        ended(attempt, Outcome.CANCELLED, 0);
-        if (!last) return;
-        cutAll(active);
-        decisions.tell(new Router.Abandoned(active.number));
-        failureLog.bad(active, "turned away by an engine as unfit");
+        boolean unanswered = registry.claimFinalAnswer(active);
+        onEnded(attempt, Outcome.CANCELLED, 0);
+        if (!unanswered) return;
+        cancelAll(active);
+        decisions.deliver(new Router.Abandoned(active.number));
+        failureLog.requestFailed(active, "rejected by an engine as invalid");
         active.caller.fail(Caller.Why.INVALID);
     }
 
-    /** Calls an attempt off, unless its stream is the caller's already. */
+    /** Cancels an attempt, unless its stream is already being passed to the caller. */
     void cancel(Router.Cancel order) {
         ActiveRequest active = registry.find(order.id());
         if (active == null || order.attempt() >= active.attempts.size()) return;
         ActiveRequest.Attempt attempt = active.attempts.get(order.attempt());
-        if (active.winner != attempt) callOff(attempt);
+        if (active.winner != attempt) cancelOrLinger(attempt);
     }
 
-    /** The caller has left: nobody reads a stream either. */
-    void cutAll(ActiveRequest active) {
-        for (ActiveRequest.Attempt attempt : List.copyOf(active.attempts)) callOff(attempt);
+    /** Cancels all attempts of a request, including one whose stream is being passed to the caller. */
+    void cancelAll(ActiveRequest active) {
+        for (ActiveRequest.Attempt attempt : List.copyOf(active.attempts)) cancelOrLinger(attempt);
     }
 
     /**
-     * Ends an attempt; while a state is held for the request only once the state's reader answers. Guards against a
-     * reader that fell silent: with no attempt out, the state would count as pinned before it could be let go. That
-     * goes for a read at another reader, too, which is under way because a writer could not reach the first.
+     * Cancels an attempt. If a state is held for the answered request, the attempt stays open until the state's reader
+     * answers a release. Guards against a reader that has fallen silent: with no attempt in flight, the state would
+     * count as pinned before it could be released. This also applies to a read at another reader that was started
+     * because a writer could not reach the first one.
      */
-    private void callOff(ActiveRequest.Attempt attempt) {
+    private void cancelOrLinger(ActiveRequest.Attempt attempt) {
         ActiveRequest active = attempt.active;
-        if (attempt.ended || attempt.lingers || attempt.sending == null) return;
-        attempt.lingers = active.answered && active.winner != attempt && !active.holds.isEmpty()
-                && !attempt.sending.unsent();
-        if (!attempt.lingers) {
-            cut(attempt, Outcome.CANCELLED);
+        if (attempt.ended || attempt.lingering || attempt.handle == null) return;
+        attempt.lingering = active.answered && active.winner != attempt && !active.leases.isEmpty()
+                && !attempt.handle.unsent();
+        if (!attempt.lingering) {
+            abort(attempt, Outcome.CANCELLED);
             return;
         }
         attempt.timeout.cancel();
-        double untilMs = loop.nowMs() + LINGER_MS;
-        attempt.timeout = loop.schedule(untilMs, () -> cut(attempt, Outcome.CANCELLED));
-        held.releaseWhileOut(active, untilMs, () -> cut(attempt, Outcome.CANCELLED));
+        double untilMs = loop.nowMs() + MAX_LINGER_MS;
+        attempt.timeout = loop.schedule(untilMs, () -> abort(attempt, Outcome.CANCELLED));
+        heldStates.releaseWhileInFlight(active, untilMs, () -> abort(attempt, Outcome.CANCELLED));
     }
 
-    /** What has not left this machine must not follow the news that its engine wants nothing more. */
+    /** Withdraws all attempts that have not been sent and whose engines no longer accept new work. */
     void withdrawUnsent() {
         for (ActiveRequest active : registry.all()) {
-            // A copy, as the module may answer the end of one with another.
+            // A copy, as the module may start another attempt when one ends.
             for (ActiveRequest.Attempt attempt : List.copyOf(active.attempts)) {
-                if (!fleet.ready(attempt.engine)) withdraw(attempt);
+                if (!fleet.isReady(attempt.engine)) withdraw(attempt);
             }
         }
     }
 
-    private void cut(ActiveRequest.Attempt attempt, Outcome outcome) {
+    private void abort(ActiveRequest.Attempt attempt, Outcome outcome) {
         if (attempt.ended) return;
-        Outcome proven = attempt.sending.unsent() && outcome == Outcome.CANCELLED ? Outcome.NOT_SENT : outcome;
-        attempt.sending.abort();
-        if (attempt.reader && !proven.hadNoEffect) attempt.active.cutReadsMs.put(attempt.engine, loop.nowMs());
-        ended(attempt, proven, 0);
+        Outcome provenOutcome = attempt.handle.unsent() && outcome == Outcome.CANCELLED ? Outcome.NOT_SENT : outcome;
+        attempt.handle.abort();
+        if (attempt.atReader && !provenOutcome.hadNoEffect)
+            attempt.active.abortedReadTimesMs.put(attempt.engine, loop.nowMs());
+        onEnded(attempt, provenOutcome, 0);
     }
 
     /**
-     * An answer that an engine of this role never gives belongs to another request, as a second answer that came late
-     * on a kept connection: it proves nothing of this attempt.
+     * Replaces an outcome that an engine of this role never gives by {@link Outcome#ERROR}. Such an answer belongs to
+     * another request, for example a second answer that arrived late on a reused connection, and proves nothing about
+     * this attempt.
      */
-    private Outcome believed(ActiveRequest.Attempt attempt, Outcome told) {
+    private Outcome validateOutcome(ActiveRequest.Attempt attempt, Outcome reported) {
         Router.Role role = fleet.target(attempt.engine).role();
-        boolean foreign = role == Router.Role.READ && (told == Outcome.SERVED || told == Outcome.STATE_GONE)
-                || role == Router.Role.WRITE && told == Outcome.READ && !settings.limits().writersRead();
-        if (!foreign) return told;
-        log.accept(
-                "answer " + told + " of a " + role + " engine to " + attempt.active.request.id() + " is not believed, "
-                        + attempt.sending.trace());
+        boolean foreign = role == Router.Role.READ && (reported == Outcome.SERVED || reported == Outcome.STATE_GONE)
+                || role == Router.Role.WRITE && reported == Outcome.READ && !settings.limits().writersRead();
+        if (!foreign) return reported;
+        log.accept("answer " + reported + " of a " + role + " engine to request " + attempt.active.request.id()
+                + " is invalid and counts as ERROR, " + attempt.handle.trace());
         return Outcome.ERROR;
     }
 
-    private void ended(ActiveRequest.Attempt attempt, Outcome told, double kept) {
+    private void onEnded(ActiveRequest.Attempt attempt, Outcome reported, double cachedTokens) {
         if (attempt.ended) return;
-        Outcome outcome = believed(attempt, told);
+        Outcome outcome = validateOutcome(attempt, reported);
         attempt.ended = true;
         attempt.outcome = outcome;
         attempt.endedMs = loop.nowMs();
         counters.count(outcome);
-        touched.add(attempt.active);
+        requestsToSettle.add(attempt.active);
         if (attempt.timeout != null) attempt.timeout.cancel();
         ActiveRequest active = attempt.active;
-        // An answer that is not believed proves nothing.
-        if (outcome == told) held.attemptEnded(active, outcome);
-        if (outcome == Outcome.READ) held.granted(active, attempt.engine);
-        // A read that was cut off may have ended well just then.
-        if (attempt.reader && !outcome.hadNoEffect) held.unanswered(active, attempt);
-        // So may one whose connection broke: nobody has told its reader to stop.
-        if (attempt.reader && outcome == Outcome.RESET) active.cutReadsMs.put(attempt.engine, loop.nowMs());
-        // An answer may be whole without an event; it is the caller's all the same.
+        // An invalid answer proves nothing.
+        if (outcome == reported) heldStates.onAttemptEnded(active, outcome);
+        if (outcome == Outcome.READ) heldStates.onStateHeld(active, attempt.engine);
+        // A read may have finished successfully just as it was aborted.
+        if (attempt.atReader && !outcome.hadNoEffect) heldStates.onReadUnanswered(active, attempt);
+        // So may one whose connection was reset, as its reader was not told to stop.
+        if (attempt.atReader && outcome == Outcome.RESET) active.abortedReadTimesMs.put(attempt.engine, loop.nowMs());
+        // A complete answer without any event also goes to the caller.
         if (outcome == Outcome.SERVED && active.winner == null && !active.answered) active.winner = attempt;
-        if (active.winner == attempt) relay.ended(attempt, outcome);
-        decisions.tell(new Router.Ended(active.number, attempt.number, attempt.engine, outcome,
-                loop.nowMs() - attempt.sentMs, kept, active.answered, UNTOLD));
+        if (active.winner == attempt) relay.onEnded(attempt, outcome);
+        decisions.deliver(new Router.Ended(active.number, attempt.number, attempt.engine, outcome,
+                loop.nowMs() - attempt.sentMs, cachedTokens, active.answered, UNKNOWN_LOAD));
     }
 
     /**
-     * Settles the requests of attempts that ended, once the module has said all that it wants. Guards against letting
-     * go of a cut read's state at a reader to which the module sends the same request in its next breath.
+     * Settles the requests of attempts that have ended, after all actions of the module have been performed. Guards
+     * against releasing an aborted read's state at a reader to which the module sends the same request in the same
+     * step.
      */
     void settle() {
-        touched.forEach(registry::settle);
-        touched.clear();
+        requestsToSettle.forEach(registry::settle);
+        requestsToSettle.clear();
     }
 }
--- a/src/main/java/maplerail/core/Broker.java
+++ b/src/main/java/maplerail/core/Broker.java
@@ -8,17 +8,18 @@
 import maplerail.policy.ProtocolRules.Reason;
 
 /**
- * Drives one decision module on one event loop. A request passes the stages admission, quotas, decisions, attempts,
- * relay and registry; the broker knows requests, attempts and outcomes and no wire. All calls are made on the loop.
+ * Runs one decision module on one event loop. A request passes the stages admission, quotas, decisions, attempts, relay
+ * and registry. The broker handles requests, attempts and outcomes and is independent of wire protocols. All calls must
+ * be made on the loop.
  */
 public final class Broker {
-    private static final int MOST_ENGINES_TOLD = 8; // in a log line
-    private static final double GUARD_MS = 4; // past a deadline; the module answers before it
+    private static final int MAX_ENGINES_PER_LOG_LINE = 8;
+    private static final double DEADLINE_GUARD_MS = 4; // after the deadline, so that the module answers first
 
     private final Loop loop;
     private final Fleet fleet;
     private final RequestRegistry registry;
-    private final HeldStates held;
+    private final HeldStates heldStates;
     private final Admission admission;
     private final Quotas quotas;
     private final DecisionLoop decisions;
@@ -30,8 +31,8 @@
     private final ServiceCounters counters;
     private final RuleMonitor monitor;
 
-    /** Makes a broker round a module that has just come up with these settings. */
-    public Broker(Router router, Router.Settings settings, Quotas quotas, Loop loop, EngineTransport engines,
+    /** Creates a broker for a newly created module with these settings. */
+    public Broker(Router router, Router.Settings settings, Quotas quotas, Loop loop, EngineTransport transport,
             Consumer<String> log) {
         this.loop = loop;
         this.log = log;
@@ -40,151 +41,151 @@
         monitor = new RuleMonitor(loop, counters, log);
         fleet = new Fleet(settings.kinds());
         this.quotas = quotas;
-        held = new HeldStates(engines, loop, settings.rules().pinLimitMs(), monitor, counters, log);
-        registry = new RequestRegistry(held, loop, quotas, settings.rules(), monitor);
+        heldStates = new HeldStates(transport, loop, settings.rules().pinLimitMs(), monitor, counters, log);
+        registry = new RequestRegistry(heldStates, loop, quotas, settings.rules(), monitor);
         admission = new Admission(loop, registry);
         failureLog = new FailureLog(loop, log);
         relay = new Relay(registry, loop, failureLog, counters);
-        runner = new AttemptRunner(engines, loop, fleet, registry, held, relay, settings, monitor, counters, failureLog,
-                log);
+        runner = new AttemptRunner(transport, loop, fleet, registry, heldStates, relay, settings, monitor, counters,
+                failureLog, log);
         decisions = new DecisionLoop(router, loop, this::perform, runner::settle, log);
-        runner.use(decisions, this::gone);
+        runner.connect(decisions, this::onCallerDisconnected);
     }
 
-    /** Takes a request; its caller gets its one final answer in any case. */
+    /** Accepts a request. Its caller gets exactly one final answer in any case. */
     public RequestHandle submit(ServiceRequest request, Caller caller) {
-        ActiveRequest active = admission.take(request, caller);
+        ActiveRequest active = admission.admit(request, caller);
         if (active == null) {
             caller.fail(Why.DUPLICATE);
-            return new Closed();
+            return new ClosedHandle();
         }
-        Quotas.Denied denied = quotas.check(request);
-        if (denied != null) {
-            registry.answer(active);
+        Quotas.Denial denial = quotas.admit(request);
+        if (denial != null) {
+            registry.claimFinalAnswer(active);
             registry.settle(active);
             counters.count(FinalAnswer.NOT_ADMITTED);
-            failureLog.bad(active, "not admitted (" + denied.why() + ")");
-            caller.refuse(denied.why(), denied.retryAfterMs());
-            return new Closed();
+            failureLog.requestFailed(active, "not admitted (" + denial.reason() + ")");
+            caller.refuse(denial.reason(), denial.retryAfterMs());
+            return new ClosedHandle();
         }
         active.admitted = true;
-        active.guard = loop.schedule(active.deadlineMs + GUARD_MS, () -> overdue(active));
-        decisions.tell(new Router.Arrival(active.number, request.kind(), request.tenant(), request.session(),
-                request.promptTokens(),
-                request.prefix(), request.prefixTokens(), Math.max(0, active.deadlineMs - loop.nowMs()),
-                request.maxOutput(), request.hintMs(),
+        active.deadlineGuard = loop.schedule(active.deadlineMs + DEADLINE_GUARD_MS, () -> onDeadlineMissed(active));
+        decisions.deliver(new Router.Arrival(active.number, request.kind(), request.tenant(), request.session(),
+                request.promptTokens(), request.prefix(), request.prefixTokens(),
+                Math.max(0, active.deadlineMs - loop.nowMs()), request.maxOutputTokens(), request.hintMs(),
                 request.resumed()));
-        return new Open(active);
+        return new OpenHandle(active);
     }
 
-    /** News of the engines; what has not gone out yet obeys it too. */
-    public void updateEngines(Router.Members news) {
-        fleet.hear(news);
-        tellChanges(news);
-        decisions.tell(news);
+    /** Updates the list of engines and withdraws unsent attempts at engines that have left service. */
+    public void updateEngines(Router.Members update) {
+        fleet.update(update);
+        logLeavingEngines(update);
+        decisions.deliver(update);
         runner.withdrawUnsent();
     }
 
-    /** Tells which engines leave service, as what follows for them is often asked after. */
-    private void tellChanges(Router.Members news) {
-        if (news.kind() != Router.ListKind.CHANGES) return;
-        String leaving = news.members().stream().filter(member -> member.state() != Router.State.READY)
-                .limit(MOST_ENGINES_TOLD).map(member -> Long.toHexString(member.engine()) + " " + member.state())
+    /** Logs which engines leave service, for tracing what followed from it. */
+    private void logLeavingEngines(Router.Members update) {
+        if (update.kind() != Router.ListKind.CHANGES) return;
+        String leaving = update.members().stream().filter(member -> member.state() != Router.State.READY)
+                .limit(MAX_ENGINES_PER_LOG_LINE).map(member -> Long.toHexString(member.engine()) + " " + member.state())
                 .collect(Collectors.joining(", "));
-        if (!leaving.isEmpty()) log.accept("list " + news.version() + ": " + leaving);
+        if (!leaving.isEmpty()) log.accept("engine list " + update.version() + ", leaving service: " + leaving);
     }
 
-    /** What happened so far, by kind and reason. */
+    /** Counters of outcomes, reasons and other events so far. */
     public ServiceCounters counters() {
         return counters;
     }
 
-    /** Requests that still wait for their final answer. */
-    public int unanswered() {
+    /** Number of requests without a final answer. */
+    public int unansweredRequests() {
         return registry.unanswered();
     }
 
-    /** Requests of which anything is still remembered. */
+    /** Number of requests that are kept in the registry, answered or not. */
     public int retainedRequests() {
         return registry.size();
     }
 
-    /** Releases that have not been answered or are still to be sent, of requests that may be over. */
+    /** Number of releases that are unanswered or still to be sent, including those of closed requests. */
     public int pendingReleases() {
-        return held.unfinished();
+        return heldStates.pendingReleases();
     }
 
     private void perform(Router.Action action) {
-        if (action instanceof Router.Send order) runner.attempt(order);
+        if (action instanceof Router.Send order) runner.startAttempt(order);
         else if (action instanceof Router.Cancel order) runner.cancel(order);
-        else if (action instanceof Router.Release order) withRequest(order.id(), held::release);
-        else if (action instanceof Router.Reclaim order) withRequest(order.id(), held::reclaim);
+        else if (action instanceof Router.Release order) withRequest(order.id(), heldStates::release);
+        else if (action instanceof Router.Reclaim order) withRequest(order.id(), heldStates::reclaim);
         else if (action instanceof Router.Refuse refuse) refuse(refuse);
         else if (action instanceof Router.Fail fail) fail(fail.id(), Why.ENGINE, fail.reason());
         else if (action instanceof Router.SetTimer timer) {
-            loop.schedule(timer.atMs(), () -> decisions.tell(new Router.Timer(timer.token())));
+            loop.schedule(timer.atMs(), () -> decisions.deliver(new Router.Timer(timer.token())));
         } else if (action instanceof Router.Log line) log.accept(line.text());
-        // Subscribe and FetchList need nothing: the list is always watched.
+        // Subscribe and FetchList need no action, as the list is always watched.
     }
 
-    private void withRequest(long number, Consumer<ActiveRequest> act) {
+    private void withRequest(long number, Consumer<ActiveRequest> action) {
         ActiveRequest active = registry.find(number);
-        if (active != null) act.accept(active);
+        if (active != null) action.accept(active);
     }
 
     private void refuse(Router.Refuse order) {
         ActiveRequest active = registry.find(order.id());
         if (active == null || active.answered) return;
-        Reason verdict = ProtocolRules.checkRefusal(active.state(settings.classes()), 0, loop.nowMs());
+        Reason verdict = ProtocolRules.checkRefusal(active.toRequestState(settings.classes()), 0, loop.nowMs());
         if (verdict != Reason.ALLOWED) {
-            monitor.breach(RuleMonitor.Breach.REFUSAL_WITHHELD, active.request.id(), verdict.name());
+            monitor.report(RuleMonitor.Breach.REFUSAL_WITHHELD, active.request.id(), verdict.name());
             fail(order.id(), Why.ENGINE, order.reason());
             return;
         }
-        registry.answer(active);
+        registry.claimFinalAnswer(active);
         registry.settle(active);
         counters.count(FinalAnswer.REFUSED);
         counters.count(order.reason());
-        failureLog.bad(active, "refused (" + order.reason() + ")");
+        failureLog.requestFailed(active, "refused (" + order.reason() + ")");
         active.caller.refuse(Why.OVERLOAD, order.retryAfterMs());
     }
 
-    private void fail(long number, Why why, Router.EndReason reason) {
+    private void fail(long number, Why reason, Router.EndReason endReason) {
         ActiveRequest active = registry.find(number);
-        if (active == null || !registry.answer(active)) return;
+        if (active == null || !registry.claimFinalAnswer(active)) return;
         registry.settle(active);
         counters.count(FinalAnswer.FAILED);
-        counters.count(reason);
-        failureLog.bad(active, why == Why.DEADLINE ? "not answered by its deadline" : "failed (" + reason + ")");
-        active.caller.fail(why);
+        counters.count(endReason);
+        failureLog.requestFailed(active,
+                reason == Why.DEADLINE ? "not answered by its deadline" : "failed (" + endReason + ")");
+        active.caller.fail(reason);
     }
 
-    /** The module gave no answer in time: nothing may be late for want of one. */
-    private void overdue(ActiveRequest active) {
+    /** Fails a request that the module has not answered in time. */
+    private void onDeadlineMissed(ActiveRequest active) {
         if (active.answered || active.winner != null) return;
         fail(active.number, Why.DEADLINE, Router.EndReason.DEADLINE);
-        leave(active);
+        abandon(active);
     }
 
-    private void gone(ActiveRequest active) {
-        if (!registry.answer(active)) {
-            boolean whole = active.winner != null && active.winner.outcome == Router.Outcome.SERVED;
-            if (whole) failureLog.broken(active, "left by its client before the end of its answer had gone out");
+    private void onCallerDisconnected(ActiveRequest active) {
+        if (!registry.claimFinalAnswer(active)) {
+            boolean served = active.winner != null && active.winner.outcome == Router.Outcome.SERVED;
+            if (served) failureLog.streamBroken(active, "abandoned by its client before its whole answer was sent");
             return;
         }
         counters.count(FinalAnswer.CLIENT_LEFT);
-        failureLog.bad(active, "left by its client");
-        leave(active);
+        failureLog.requestFailed(active, "abandoned by its client");
+        abandon(active);
     }
 
-    private void leave(ActiveRequest active) {
-        decisions.tell(new Router.Abandoned(active.number));
-        runner.cutAll(active);
+    private void abandon(ActiveRequest active) {
+        decisions.deliver(new Router.Abandoned(active.number));
+        runner.cancelAll(active);
         registry.settle(active);
     }
 
-    /** A request that was never open, or no longer is. */
-    private static final class Closed implements RequestHandle {
+    /** Handle of a request that was not admitted. */
+    private static final class ClosedHandle implements RequestHandle {
         @Override
         public void cancel() {}
 
@@ -192,16 +193,16 @@
         public void writable() {}
     }
 
-    private final class Open implements RequestHandle {
+    private final class OpenHandle implements RequestHandle {
         private final ActiveRequest active;
 
-        Open(ActiveRequest active) {
+        OpenHandle(ActiveRequest active) {
             this.active = active;
         }
 
         @Override
         public void cancel() {
-            Broker.this.gone(active);
+            Broker.this.onCallerDisconnected(active);
         }
 
         @Override
--- a/src/main/java/maplerail/core/Budgets.java
+++ b/src/main/java/maplerail/core/Budgets.java
@@ -2,16 +2,22 @@
 
 import java.util.List;
 
-/** What callers may ask for: how many requests at once in all, and a contract for each class and team. */
+/**
+ * Limits on what callers may request.
+ *
+ * @param maxOpen maximum number of open requests over all teams
+ * @param contracts one for each request class, by the class's index
+ * @param teams budget of each team, by the team's index
+ */
 public record Budgets(int maxOpen, List<Contract> contracts, List<Budget> teams) {
-    /** No contracts and no budgets beyond a number of open requests. */
+    /** Limits only the number of open requests. */
     public static Budgets withoutQuotas(int maxOpen) {
         return new Budgets(maxOpen, List.of(), List.of());
     }
 
-    /** The most bytes that a request of a class may carry. */
+    /** Maximum payload size of a request class, in bytes. */
     public record Contract(int maxBytes) {}
 
-    /** Calls a second and calls at once that a team may make. */
-    public record Budget(double perSecond, int inFlight) {}
+    /** Maximum call rate and maximum number of concurrent calls of a team. */
+    public record Budget(double callsPerSecond, int maxInFlight) {}
 }
--- a/src/main/java/maplerail/core/Caller.java
+++ b/src/main/java/maplerail/core/Caller.java
@@ -1,27 +1,33 @@
 package maplerail.core;
 
-/** Who asked. Gets exactly one of end, broken, refuse and fail; events come before end or broken only. */
+/**
+ * Receives the answer to a request: exactly one of {@link #end}, {@link #broken}, {@link #refuse} and {@link #fail}.
+ * Events precede only end or broken.
+ */
 public interface Caller {
-    /** Why a request was not served. */
+    /** Reason why a request was not served. */
     enum Why { INVALID, DUPLICATE, BUDGET, OVERLOAD, ENGINE, DEADLINE }
 
-    /** True if the caller has left; looks for it now, as its leaving may wait unread while the loop is busy. */
+    /**
+     * True if the caller has disconnected. Checks the connection now, as the close may be unread while the loop is
+     * busy.
+     */
     default boolean hasDisconnected() {
         return false;
     }
 
-    /** A piece of the answer, unchanged; false asks for a pause until {@link RequestHandle#writable()}. */
+    /** Receives a piece of the answer, unchanged. Returns false to pause until {@link RequestHandle#writable()}. */
     boolean event(byte[] event);
 
-    /** The answer is whole. */
+    /** The answer is complete. */
     void end();
 
-    /** The answer broke off after its first event. */
+    /** The answer was cut off after its first event. */
     void broken();
 
-    /** Not served, and a repeat does no harm; {@code retryAfterMs} is 0 for no advice. */
-    void refuse(Why why, double retryAfterMs);
+    /** The request was not served and is safe to retry. {@code retryAfterMs} is 0 if there is no advice. */
+    void refuse(Why reason, double retryAfterMs);
 
-    /** Not served, and it may have run. */
-    void fail(Why why);
+    /** The request was not served, and it may have run. */
+    void fail(Why reason);
 }
--- a/src/main/java/maplerail/core/DecisionLoop.java
+++ b/src/main/java/maplerail/core/DecisionLoop.java
@@ -5,46 +5,49 @@
 import java.util.function.Consumer;
 import maplerail.Router;
 
-/** Tells the module each event in order and hands on each action, one after the other; then all is settled. */
+/** Delivers events to the module one at a time and performs its actions in order. Settles once no event is pending. */
 final class DecisionLoop {
     private final Router router;
     private final Loop loop;
     private final Consumer<Router.Action> perform;
-    private final ArrayDeque<Router.Event> waiting = new ArrayDeque<>();
-    private final Runnable settled;
+    private final ArrayDeque<Router.Event> pendingEvents = new ArrayDeque<>();
+    private final Runnable afterActions;
     private final Consumer<String> log;
-    private boolean stepping;
+    private boolean delivering;
 
-    DecisionLoop(Router router, Loop loop, Consumer<Router.Action> perform, Runnable settled, Consumer<String> log) {
+    DecisionLoop(Router router, Loop loop, Consumer<Router.Action> perform, Runnable afterActions,
+            Consumer<String> log) {
         this.router = router;
         this.loop = loop;
         this.perform = perform;
-        this.settled = settled;
+        this.afterActions = afterActions;
         this.log = log;
     }
 
-    /** Guards against a fault of the module: it costs this event; the deadline's guard answers its request. */
+    /** Guards against a fault of the module: only this event is lost, and the deadline guard answers its request. */
     private List<Router.Action> decide(Router.Event event) {
         try {
             return router.step(loop.nowMs(), List.of(event));
         } catch (RuntimeException e) {
-            log.accept("the module failed on " + event.getClass().getSimpleName() + ": " + e);
+            log.accept("the decision module failed on " + event.getClass().getSimpleName() + ": " + e);
             return List.of();
         }
     }
 
-    /** An event that an action brings about waits until the actions before it are done. */
-    void tell(Router.Event event) {
-        waiting.add(event);
-        if (stepping) return;
-        stepping = true;
+    /**
+     * Delivers an event. An event that is caused by an action waits until the actions before it have been performed.
+     */
+    void deliver(Router.Event event) {
+        pendingEvents.add(event);
+        if (delivering) return;
+        delivering = true;
         try {
-            for (Router.Event next = waiting.poll(); next != null; next = waiting.poll()) {
+            for (Router.Event next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 decide(next).forEach(perform);
             }
-            settled.run();
+            afterActions.run();
         } finally {
-            stepping = false;
+            delivering = false;
         }
     }
 }
--- a/src/main/java/maplerail/core/EngineTransport.java
+++ b/src/main/java/maplerail/core/EngineTransport.java
@@ -4,55 +4,63 @@
 import java.util.function.Consumer;
 import maplerail.Router;
 
-/** The port through which attempts go out. It must never make an attempt twice on its own. */
+/** Sends attempts and releases to engines. It must never send an attempt twice on its own. */
 public interface EngineTransport {
     /**
-     * Makes one attempt. The answer hears exactly one {@code ended}, never before this call returns. An attempt that
-     * had to wait for its connection asks whether it may still begin right before its first byte is written.
+     * Sends one attempt. The listener gets exactly one {@code rejected} or {@code ended}, never before this call
+     * returns.
+     *
+     * @param mayBegin asked right before the first byte is written if the attempt had to wait for its connection
      */
     AttemptHandle send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
             AnswerListener answer);
 
-    /** Lets go of what an engine holds for a request, trying again up to a time; tells once how that ended. */
-    void release(long engine, String id, double untilMs, Consumer<ReleaseResult> ended);
+    /** Releases what an engine holds for a request, retrying until a time. Reports the result once. */
+    void release(long engine, String id, double untilMs, Consumer<ReleaseResult> onEnded);
 
-    /** How a release ended: whether the engine answered, after how many tries and how long. */
-    record ReleaseResult(boolean answered, int tries, double tookMs) {}
+    /** Result of a release: whether the engine answered, the number of tries and the total duration. */
+    record ReleaseResult(boolean answered, int tries, double durationMs) {}
 
-    /** An attempt on its way. */
+    /** Controls an attempt that has been handed to the transport. */
     interface AttemptHandle {
-        /** How far it has come, for the log. */
+        /** Describes the attempt's progress, for the log. */
         default String trace() {
             return "";
         }
 
-        /** True while not a byte of it has gone out. */
+        /** True while none of the attempt's bytes have been sent. */
         boolean unsent();
 
-        /** True if the head of a successful answer has come: what the attempt waited for has surely been taken. */
+        /**
+         * True if the head of a successful answer has arrived, which proves that the engine has taken the held state.
+         */
         default boolean answerBegun() {
             return false;
         }
 
-        /** Gives it up: nothing is heard of it any more. */
+        /** Aborts the attempt. The listener gets no further calls. */
         void abort();
 
-        /** Stops taking the answer's events. */
+        /** Stops reading the answer's events. */
         void pause();
 
-        /** Takes them again. */
+        /** Resumes reading the answer's events. */
         void resume();
     }
 
-    /** What comes back. */
+    /** Receives the answer to an attempt. */
     interface AnswerListener {
-        /** A piece of a streaming answer. */
+        /** Receives a piece of a streaming answer. */
         void event(byte[] event);
 
-        /** The end: the engine says that the request itself is wrong. Another would say so too. */
+        /** The attempt has ended: the engine rejected the request as invalid, as any other engine would. */
         void rejected();
 
-        /** The end; {@code kept} is the part of the prompt that needed no reading, NaN if it is not told. */
-        void ended(Router.Outcome outcome, double kept);
+        /**
+         * The attempt has ended.
+         *
+         * @param cachedTokens number of prompt tokens that were cached, NaN if unknown
+         */
+        void ended(Router.Outcome outcome, double cachedTokens);
     }
 }
--- a/src/main/java/maplerail/core/FinalAnswer.java
+++ b/src/main/java/maplerail/core/FinalAnswer.java
@@ -1,6 +1,6 @@
 package maplerail.core;
 
-/** How a request ended for its caller. */
+/** How a request ended, as seen by its caller. */
 enum FinalAnswer {
     SERVED, BROKEN, REFUSED, FAILED, NOT_ADMITTED, CLIENT_LEFT
 }
--- a/src/main/java/maplerail/core/Fleet.java
+++ b/src/main/java/maplerail/core/Fleet.java
@@ -8,7 +8,7 @@
 import maplerail.Router;
 import maplerail.policy.ProtocolRules;
 
-/** Which engines the list has named, what they do, and which of them want new work. */
+/** The engines that have been listed, their roles, and which of them accept new work. */
 final class Fleet {
     private final List<Router.Kind> kinds;
     private final Map<Long, Router.Role> roles = new HashMap<>();
@@ -19,10 +19,10 @@
         this.kinds = kinds;
     }
 
-    void hear(Router.Members news) {
-        if (news.kind() == Router.ListKind.FAILED) return;
-        if (news.kind() != Router.ListKind.CHANGES) ready.clear();
-        for (Router.Member member : news.members()) {
+    void update(Router.Members update) {
+        if (update.kind() == Router.ListKind.FAILED) return;
+        if (update.kind() != Router.ListKind.CHANGES) ready.clear();
+        for (Router.Member member : update.members()) {
             members.put(member.engine(), member);
             if (member.kind() < kinds.size()) roles.put(member.engine(), kinds.get(member.kind()).role());
             if (member.state() == Router.State.READY) ready.add(member.engine());
@@ -30,18 +30,18 @@
         }
     }
 
-    boolean ready(long engine) {
+    boolean isReady(long engine) {
         return ready.contains(engine);
     }
 
-    /** An engine as the target of an attempt; one that no list has named is in no service. */
+    /** Returns an engine as the target of an attempt. An engine that was never listed counts as not in service. */
     ProtocolRules.Target target(long engine) {
         Router.Member member = members.get(engine);
         if (member == null) {
-            int nowhere = Router.Member.UNKNOWN_PLACE;
-            return new ProtocolRules.Target(Router.Role.BOTH, false, nowhere, nowhere);
+            int unknownPlace = Router.Member.UNKNOWN_PLACE;
+            return new ProtocolRules.Target(Router.Role.BOTH, false, unknownPlace, unknownPlace);
         }
         Router.Role role = roles.getOrDefault(engine, Router.Role.BOTH);
-        return new ProtocolRules.Target(role, ready(engine), member.zone(), member.cell());
+        return new ProtocolRules.Target(role, isReady(engine), member.zone(), member.cell());
     }
 }
--- a/src/main/java/maplerail/core/Lifecycle.java
+++ b/src/main/java/maplerail/core/Lifecycle.java
@@ -6,24 +6,24 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The program's phases, from start to exit. Only legal moves are made; listeners hear each one. */
+/** Tracks the program's phase from start to exit. Rejects illegal transitions and notifies listeners of each one. */
 public final class Lifecycle {
-    /** Where the program is. In FINISHING it only ends what it took before. */
+    /** Phase of the program. In FINISHING it only completes requests that it accepted before. */
     public enum Phase {
         STARTING, READY, DRAINING, FINISHING, STOPPED;
 
-        /** True once clients are to go elsewhere. */
+        /** True once clients should connect elsewhere. */
         public boolean isShuttingDown() {
             return compareTo(READY) > 0;
         }
 
-        /** True while a request that arrives is still served. */
+        /** True while new requests are served. */
         public boolean acceptsRequests() {
             return compareTo(FINISHING) < 0;
         }
     }
 
-    private static final Map<Phase, Set<Phase>> LEGAL = Map.of(
+    private static final Map<Phase, Set<Phase>> ALLOWED_TRANSITIONS = Map.of(
             Phase.STARTING, Set.of(Phase.READY, Phase.DRAINING, Phase.STOPPED),
             Phase.READY, Set.of(Phase.DRAINING),
             Phase.DRAINING, Set.of(Phase.FINISHING, Phase.STOPPED),
@@ -33,24 +33,29 @@
     private final List<Consumer<Phase>> listeners = new ArrayList<>();
     private Phase phase = Phase.STARTING;
 
-    /** The phase now. */
+    /** The current phase. */
     public synchronized Phase phase() {
         return phase;
     }
 
-    /** Tells each later move. */
+    /** Adds a listener for later transitions. */
     public synchronized void addListener(Consumer<Phase> listener) {
         listeners.add(listener);
     }
 
-    /** Moves on; an illegal move is a fault of the program. */
+    /**
+     * Changes the phase and notifies the listeners.
+     *
+     * @throws IllegalStateException if the transition is illegal
+     */
     public void moveTo(Phase to) {
-        List<Consumer<Phase>> heard;
+        List<Consumer<Phase>> toNotify;
         synchronized (this) {
-            if (!LEGAL.get(phase).contains(to)) throw new IllegalStateException("no way from " + phase + " to " + to);
+            if (!ALLOWED_TRANSITIONS.get(phase).contains(to))
+                throw new IllegalStateException("illegal transition from " + phase + " to " + to);
             phase = to;
-            heard = List.copyOf(listeners);
+            toNotify = List.copyOf(listeners);
         }
-        heard.forEach(l -> l.accept(to));
+        toNotify.forEach(l -> l.accept(to));
     }
 }
--- a/src/main/java/maplerail/core/Loop.java
+++ b/src/main/java/maplerail/core/Loop.java
@@ -1,28 +1,28 @@
 package maplerail.core;
 
-/** The one thread on which the broker lives: its clock and its timers. */
+/** Clock and timers of the single-threaded event loop that runs the broker. */
 public interface Loop {
-    /** Milliseconds of Unix time, with fractions; never goes back. */
+    /** Unix time in milliseconds, with fractions. Never goes back. */
     double nowMs();
 
-    /** Runs a task at a time, not before it; the task can be called off. */
+    /** Runs a task at or after the given time. */
     ScheduledTask schedule(double whenMs, Runnable task);
 
-    /** Runs a task once what has arrived by now has been read. */
+    /** Runs a task once all input that has arrived by now has been read. */
     ScheduledTask runAfterInput(Runnable task);
 
     /**
-     * What is read now, of connections that are being read, had not arrived by this time: all that had has been handed
-     * on. On a loop that is in time this is a little before {@link #nowMs}; on one that is behind, long before.
+     * Lower bound for the arrival time of input that is read now from open connections: all earlier input has been
+     * processed. Slightly before {@link #nowMs} if the loop keeps up, long before it if the loop is behind.
      */
     double inputArrivedAfterMs();
 
-    /** The same for connections that come in now. */
+    /** Lower bound for the arrival time of connections that are accepted now. */
     double connectionsArrivedAfterMs();
 
-    /** A task that waits for its time. */
+    /** A scheduled task that can be cancelled. */
     interface ScheduledTask {
-        /** Calls the task off; does nothing once it has run. */
+        /** Cancels the task. Does nothing once it has run. */
         void cancel();
     }
 }
--- a/src/main/java/maplerail/core/Payload.java
+++ b/src/main/java/maplerail/core/Payload.java
@@ -1,4 +1,4 @@
 package maplerail.core;
 
-/** What a front hands to the engines with a request. The broker carries it and never looks inside. */
+/** Data that a front passes to the engines with a request. Opaque to the broker. */
 public interface Payload {}
--- a/src/main/java/maplerail/core/Relay.java
+++ b/src/main/java/maplerail/core/Relay.java
@@ -2,7 +2,7 @@
 
 import maplerail.Router.Outcome;
 
-/** Fifth stage: passes the events of the one attempt that became the caller's, as they come. */
+/** Fifth stage: passes the events of a request's winning attempt to the caller as they arrive. */
 final class Relay {
     private final RequestRegistry registry;
     private final Loop loop;
@@ -16,30 +16,30 @@
         this.counters = counters;
     }
 
-    void event(ActiveRequest.Attempt attempt, byte[] event) {
+    void onEvent(ActiveRequest.Attempt attempt, byte[] event) {
         if (attempt.active.answered) return;
         if (attempt.active.caller.event(event)) return;
         attempt.paused = true;
-        attempt.sending.pause();
+        attempt.handle.pause();
     }
 
     void writable(ActiveRequest active) {
         if (active.winner == null || active.winner.ended) return;
         active.winner.paused = false;
-        active.winner.heardMs = loop.nowMs();
-        active.winner.sending.resume();
+        active.winner.lastEventMs = loop.nowMs();
+        active.winner.handle.resume();
     }
 
-    /** Only a stream that came to its end is whole; any other must not look so. */
-    void ended(ActiveRequest.Attempt attempt, Outcome outcome) {
+    /** Ends the answer. Only a stream that reached its end is reported as complete. */
+    void onEnded(ActiveRequest.Attempt attempt, Outcome outcome) {
         ActiveRequest active = attempt.active;
-        if (!registry.answer(active)) return;
+        if (!registry.claimFinalAnswer(active)) return;
         counters.count(outcome == Outcome.SERVED ? FinalAnswer.SERVED : FinalAnswer.BROKEN);
         if (outcome == Outcome.SERVED) {
             active.caller.end();
             return;
         }
-        failureLog.broken(active, "broken (" + outcome + ")");
+        failureLog.streamBroken(active, "broken (" + outcome + ")");
         active.caller.broken();
     }
 }
--- a/src/main/java/maplerail/core/RepeatLog.java
+++ b/src/main/java/maplerail/core/RepeatLog.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import maplerail.Router;
 
-/** Tells what proves that an effect which must not come twice may be tried again. */
+/** Logs the evidence that allows an unsafe request, which must not take effect twice, to be sent again. */
 final class RepeatLog {
     private enum Repeated {
         AFTER_PROOF_OF_NO_EFFECT
@@ -20,17 +20,17 @@
         this.log = log;
     }
 
-    /** A line for each earlier write of an unsafe request that is about to be written again. */
-    void tell(ActiveRequest.Attempt attempt) {
+    /** Logs the outcome of each earlier write of an unsafe request that is about to be sent to a writer again. */
+    void logRepeats(ActiveRequest.Attempt attempt) {
         ActiveRequest active = attempt.active;
         int kind = active.request.kind();
         boolean unsafe = kind < classes.size() && classes.get(kind).repeat() == Router.Repeat.UNSAFE;
-        if (attempt.reader || !unsafe) return;
+        if (attempt.atReader || !unsafe) return;
         for (ActiveRequest.Attempt earlier : active.attempts) {
-            if (earlier == attempt || earlier.reader) continue;
+            if (earlier == attempt || earlier.atReader) continue;
             counters.count(Repeated.AFTER_PROOF_OF_NO_EFFECT);
             log.accept("repeat of " + active.request.id() + ": write " + Long.toHexString(earlier.engine) + " ended "
-                    + earlier.outcome + (earlier.sending == null ? "" : ", " + earlier.sending.trace()));
+                    + earlier.outcome + (earlier.handle == null ? "" : ", " + earlier.handle.trace()));
         }
     }
 }
--- a/src/main/java/maplerail/core/RequestHandle.java
+++ b/src/main/java/maplerail/core/RequestHandle.java
@@ -1,10 +1,10 @@
 package maplerail.core;
 
-/** What a front holds while its request is open. */
+/** Lets a front control its open request. */
 public interface RequestHandle {
-    /** The caller has left. */
+    /** The caller has disconnected or cancelled the request. */
     void cancel();
 
-    /** The caller can take more. */
+    /** The caller can receive more events. */
     void writable();
 }
--- a/src/main/java/maplerail/core/RequestRegistry.java
+++ b/src/main/java/maplerail/core/RequestRegistry.java
@@ -6,30 +6,31 @@
 import maplerail.Router;
 import maplerail.core.RuleMonitor.Breach;
 
-/** Last stage: the open requests. Each gets one final answer, and nothing is left held for it anywhere. */
+/** Last stage: the open requests. Ensures one final answer for each and the release of all states held for it. */
 final class RequestRegistry {
-    private static final double SLACK_MS = 50; // that the rules on sockets add to each time limit
+    /** Added to each time limit by the protocol rules for sockets. */
+    private static final double EXTRA_ANSWER_SLACK_MS = 50;
 
-    private final HeldStates held;
+    private final HeldStates heldStates;
     private final Loop loop;
     private final Quotas quotas;
     private final double answerSlackMs;
     private final RuleMonitor monitor;
     private final Map<Long, ActiveRequest> requests = new HashMap<>();
-    private final Map<Long, Runnable> closers = new HashMap<>();
+    private final Map<Long, Runnable> closeActions = new HashMap<>();
     private int unanswered;
 
-    RequestRegistry(HeldStates held, Loop loop, Quotas quotas, Router.Rules rules, RuleMonitor monitor) {
-        this.held = held;
+    RequestRegistry(HeldStates heldStates, Loop loop, Quotas quotas, Router.Rules rules, RuleMonitor monitor) {
+        this.heldStates = heldStates;
         this.loop = loop;
         this.quotas = quotas;
-        this.answerSlackMs = rules.answerSlackMs() + SLACK_MS;
+        this.answerSlackMs = rules.answerSlackMs() + EXTRA_ANSWER_SLACK_MS;
         this.monitor = monitor;
     }
 
-    void open(ActiveRequest active, Runnable closer) {
+    void open(ActiveRequest active, Runnable closeAction) {
         requests.put(active.number, active);
-        closers.put(active.number, closer);
+        closeActions.put(active.number, closeAction);
         unanswered++;
     }
 
@@ -49,24 +50,28 @@
         return requests.size();
     }
 
-    /** True the first time only: whoever gets true gives the final answer, or knows that nobody wants one. */
-    boolean answer(ActiveRequest active) {
+    /**
+     * Marks a request as answered. Returns true the first time only; that call's caller gives the final answer, if any.
+     */
+    boolean claimFinalAnswer(ActiveRequest active) {
         if (active.answered) return false;
         active.answered = true;
         double lateMs = loop.nowMs() - active.deadlineMs;
         if (active.winner == null && lateMs > answerSlackMs) {
-            monitor.breach(Breach.ANSWER_LATE, active.request.id(), "by " + Math.round(lateMs) + " ms");
+            monitor.report(Breach.ANSWER_LATE, active.request.id(), "by " + Math.round(lateMs) + " ms");
         }
         unanswered--;
-        if (active.guard != null) active.guard.cancel();
-        if (active.admitted) quotas.left(active.request);
+        if (active.deadlineGuard != null) active.deadlineGuard.cancel();
+        if (active.admitted) quotas.onRequestClosed(active.request);
         return true;
     }
 
-    /** After each end of an attempt: what cut reads left is released, and a request that is done is removed. */
+    /**
+     * Releases states that are no longer needed and removes the request if it is done. Called when attempts have ended.
+     */
     void settle(ActiveRequest active) {
-        if (active.anyOut()) return;
-        if (active.answered || active.holds.isEmpty()) held.release(active);
-        if (active.answered && requests.remove(active.number) != null) closers.remove(active.number).run();
+        if (active.hasAttemptInFlight()) return;
+        if (active.answered || active.leases.isEmpty()) heldStates.release(active);
+        if (active.answered && requests.remove(active.number) != null) closeActions.remove(active.number).run();
     }
 }
--- a/src/main/java/maplerail/core/ServiceRequest.java
+++ b/src/main/java/maplerail/core/ServiceRequest.java
@@ -1,26 +1,28 @@
 package maplerail.core;
 
 /**
- * A request as a front understood it: the facts that decide, by place in the settings, and the payload.
+ * A request as parsed by a front: the values that decisions are based on, and the payload.
  *
- * @param id the caller's own, unique while the request is open
- * @param budgetMs for how long its caller waits, from when it sent the request
- * @param size of the payload, in bytes
- * @param sentMs not before this time of the loop's clock was it sent, or NaN if it is sent as it is taken
+ * @param id id given by the caller, unique while the request is open
+ * @param kind index of the request class in the settings
+ * @param tenant index of the tenant in the settings
+ * @param budgetMs how long the caller waits, from when it sent the request
+ * @param payloadBytes size of the payload, in bytes
+ * @param sentMs earliest time on the loop's clock at which the request can have been sent; NaN for when it is accepted
  */
 public record ServiceRequest(String id, int kind, int tenant, long session, double promptTokens, long prefix,
-        double prefixTokens, double budgetMs, double maxOutput, double hintMs, boolean resumed, int size,
+        double prefixTokens, double budgetMs, double maxOutputTokens, double hintMs, boolean resumed, int payloadBytes,
         Payload payload, double sentMs) {
 
-    /** A request that is sent as it is taken. */
+    /** Creates a request whose budget starts when it is accepted. */
     public ServiceRequest(String id, int kind, int tenant, long session, double promptTokens, long prefix,
-            double prefixTokens, double budgetMs, double maxOutput, double hintMs, boolean resumed, int size,
-            Payload payload) {
-        this(id, kind, tenant, session, promptTokens, prefix, prefixTokens, budgetMs, maxOutput, hintMs, resumed, size,
-                payload, Double.NaN);
+            double prefixTokens, double budgetMs, double maxOutputTokens, double hintMs, boolean resumed,
+            int payloadBytes, Payload payload) {
+        this(id, kind, tenant, session, promptTokens, prefix, prefixTokens, budgetMs, maxOutputTokens, hintMs, resumed,
+                payloadBytes, payload, Double.NaN);
     }
 
-    /** When its caller gives up, for a request that is taken now. */
+    /** Returns the time at which the caller gives up, for a request that is accepted now. */
     double deadlineMs(double nowMs) {
         return (Double.isNaN(sentMs) ? nowMs : sentMs) + budgetMs;
     }
--- a/src/main/java/maplerail/core/package-info.java
+++ b/src/main/java/maplerail/core/package-info.java
@@ -1,2 +1,5 @@
-/** A request's life from its arrival to its one final answer, without any wire: admission, decisions carried out, attempts, the answer, and what engines hold for it. */
+/**
+ * Handles requests from arrival to their one final answer, independent of wire protocols: admission, quotas, the
+ * decision module's actions, attempts, answers and the states that engines hold.
+ */
 package maplerail.core;
--- a/src/test/java/maplerail/core/BrokerTest.java
+++ b/src/test/java/maplerail/core/BrokerTest.java
@@ -119,17 +119,17 @@
         act(new Refuse(1, 250));
         take("a");
         assertThat(caller).endsWith("refuse OVERLOAD 250");
-        assertThat(broker.unanswered()).isEqualTo(3);
+        assertThat(broker.unansweredRequests()).isEqualTo(3);
     }
 
     @Test
     void aTeamsRateComesBackWithTime() {
         Quotas quotas = new Quotas(new Budgets(9, List.of(), List.of(new Budgets.Budget(2, 9))), loop, line -> {});
         ServiceRequest request = new ServiceRequest("a", 0, 0, 0, 0, 0, 0, 1, 0, 0, false, 0, null);
-        assertThat(quotas.check(request)).isNull();
-        assertThat(quotas.check(request)).isNull();
-        assertThat(quotas.check(request)).isEqualTo(new Quotas.Denied(Caller.Why.BUDGET, 500));
+        assertThat(quotas.admit(request)).isNull();
+        assertThat(quotas.admit(request)).isNull();
+        assertThat(quotas.admit(request)).isEqualTo(new Quotas.Denial(Caller.Why.BUDGET, 500));
         loop.until(1_500);
-        assertThat(quotas.check(request)).isNull();
+        assertThat(quotas.admit(request)).isNull();
     }
 }
--- a/src/test/java/maplerail/core/FailureLogTest.java
+++ b/src/test/java/maplerail/core/FailureLogTest.java
@@ -22,9 +22,9 @@
     void aCrowdOfRefusalsHidesNoBrokenStream() {
         List<String> lines = new ArrayList<>();
         FailureLog log = new FailureLog(new ManualLoop(), lines::add);
-        for (int i = 0; i < CROWD; i++) log.bad(request("refused" + i), "refused (OVERLOAD)");
+        for (int i = 0; i < CROWD; i++) log.requestFailed(request("refused" + i), "refused (OVERLOAD)");
         assertThat(lines).hasSizeLessThan(CROWD);
-        log.broken(request("cut"), "broken (RESET)");
+        log.streamBroken(request("cut"), "broken (RESET)");
         assertThat(lines).last().asString().contains("request cut kind 0 broken (RESET)");
     }
 
@@ -36,7 +36,8 @@
         rig.lastSent().ended(Outcome.SERVED, 0);
         assertThat(rig.answers).containsExactly("end");
         rig.handle.cancel();
-        assertThat(rig.log).anyMatch(line -> line.startsWith("request a1 kind 0 left by its client before the end"));
+        assertThat(rig.log)
+                .anyMatch(line -> line.startsWith("request a1 kind 0 abandoned by its client before its whole answer"));
     }
 
     @Test
@@ -45,6 +46,6 @@
         rig.take("a1", new Router.Send(1, BrokerRig.READER, BrokerRig.DEADLINE_MS));
         rig.lastSent().rejected();
         assertThat(rig.answers).containsExactly("fail");
-        assertThat(rig.log).anyMatch(line -> line.startsWith("request a1 kind 0 turned away by an engine as unfit"));
+        assertThat(rig.log).anyMatch(line -> line.startsWith("request a1 kind 0 rejected by an engine as invalid"));
     }
 }
--- a/src/test/java/maplerail/core/RuleChecksTest.java
+++ b/src/test/java/maplerail/core/RuleChecksTest.java
@@ -79,7 +79,7 @@
         rig.callerLeft = true;
         assertThat(rig.permits.get(0).getAsBoolean()).isFalse();
         assertThat(rig.aborted).isTrue();
-        assertThat(rig.broker.unanswered()).isZero();
+        assertThat(rig.broker.unansweredRequests()).isZero();
     }
 
     @Test
