--- a/src/test/java/maplerail/core/BrokerRig.java
+++ b/src/test/java/maplerail/core/BrokerFixture.java
@@ -7,100 +7,103 @@
 import maplerail.Router;
 import maplerail.support.ManualLoop;
 
-/** A broker with two readers and one writer that are not there, under a module that orders what a test tells it to. */
-final class BrokerRig {
+/** A broker with two simulated readers, one simulated writer and a module that orders the actions given by a test. */
+final class BrokerFixture {
     static final long READER = 1;
     static final long WRITER = 2;
     static final long OTHER_READER = 3;
     static final double DEADLINE_MS = 4_000;
     static final double PIN_LIMIT_MS = 500;
-    private static final int MOST_OPEN = 100;
-    private static final double ANSWER_MS = 1; // of a release
+    private static final int MAX_OPEN = 100;
+    private static final double RELEASE_ANSWER_MS = 1;
 
     final ManualLoop loop = new ManualLoop();
-    /** What the module orders next. */
-    final List<Router.Action> next = new ArrayList<>();
-    /** The attempts that went out, and what each asks before its first byte if it has to wait. */
-    final List<EngineTransport.AnswerListener> sent = new ArrayList<>();
-    final List<BooleanSupplier> permits = new ArrayList<>();
-    /** When the first reader was told to let go, and when the other was. */
-    final List<Double> releasedAtMs = new ArrayList<>();
-    final List<Double> otherReleasedAtMs = new ArrayList<>();
-    final List<String> answers = new ArrayList<>();
-    final List<String> log = new ArrayList<>();
-    int events;
+    /** Actions that the module orders at its next event. */
+    final List<Router.Action> nextActions = new ArrayList<>();
+    /** Listeners of the attempts that were sent. */
+    final List<EngineTransport.AnswerListener> listeners = new ArrayList<>();
+    /** For each attempt, the check before its first byte if it has to wait for its connection. */
+    final List<BooleanSupplier> beginChecks = new ArrayList<>();
+    /** Times of the releases to the first reader. */
+    final List<Double> releaseTimesMs = new ArrayList<>();
+    /** Times of the releases to the other reader. */
+    final List<Double> otherReleaseTimesMs = new ArrayList<>();
+    final List<String> finalAnswers = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
+    int eventCount;
     private long listVersion = 1;
-    boolean callerLeft;
+    boolean callerDisconnected;
     boolean aborted;
-    /** Of the attempts that go out: whether a byte has been written, and whether an answer has begun. */
+    /** Whether attempts count as having no byte written. */
     boolean unsent;
+    /** Whether the answers of attempts count as begun. */
     boolean answerBegun;
-    /** Whether readers answer releases, a moment later. */
+    /** Whether readers answer releases, after a short delay. */
     boolean answersReleases;
-    /** Of the request that was last taken. */
+    /** Handle of the request that was submitted last. */
     RequestHandle handle;
     final Broker broker;
 
-    /** A broker of one class whose requests must not take effect twice. */
-    BrokerRig() {
-        Router router = (nowMs, told) -> {
-            List<Router.Action> actions = List.copyOf(next);
-            next.clear();
+    /** Creates a broker with one request class whose requests must not take effect twice. */
+    BrokerFixture() {
+        Router router = (nowMs, events) -> {
+            List<Router.Action> actions = List.copyOf(nextActions);
+            nextActions.clear();
             return actions;
         };
-        Router.RequestClass booking = new Router.RequestClass(1_000, 0, DEADLINE_MS, 0, 1, 0, Router.Repeat.UNSAFE,
+        Router.RequestClass unsafeClass = new Router.RequestClass(1_000, 0, DEADLINE_MS, 0, 1, 0, Router.Repeat.UNSAFE,
                 Router.Scope.ALL, 0);
-        Router.Settings settings = new Router.Settings(1, 1, 0, 2, false, 1, List.of(booking), List.of(),
+        Router.Settings settings = new Router.Settings(1, 1, 0, 2, false, 1, List.of(unsafeClass), List.of(),
                 List.of(new Router.Kind(Router.Role.READ, 1), new Router.Kind(Router.Role.WRITE, 1)),
                 new Router.Limits(6, true, false, true, 1_000, false),
                 new Router.Rules(8, PIN_LIMIT_MS, 1, 1, 1, 1, 1));
-        broker = new Broker(router, settings, new Quotas(Budgets.withoutQuotas(MOST_OPEN), loop, line -> {}), loop,
-                engines(),
-                log::add);
+        broker = new Broker(router, settings, new Quotas(Budgets.withoutQuotas(MAX_OPEN), loop, line -> {}), loop,
+                transport(), logLines::add);
         broker.updateEngines(new Router.Members(Router.ListKind.WHOLE, 1,
                 List.of(new Router.Member(READER, Router.State.READY, 0, 0, 0, 1, 0),
                         new Router.Member(WRITER, Router.State.READY, 0, 0, 0, 1, 1),
                         new Router.Member(OTHER_READER, Router.State.READY, 0, 0, 0, 1, 0))));
     }
 
-    /** Takes a request, for which the module orders this first. */
-    void take(String id, Router.Action... first) {
-        next.addAll(List.of(first));
+    /** Submits a request, for which the module first orders these actions. */
+    void submit(String id, Router.Action... actions) {
+        nextActions.addAll(List.of(actions));
         handle = broker.submit(new ServiceRequest(id, 0, 0, 0, 100, 0, 0, DEADLINE_MS, 10, 0, false, 10, null),
                 caller());
     }
 
-    /** Lets the module order this now. */
-    void order(Router.Action... actions) {
-        next.addAll(List.of(actions));
+    /** Makes the module order these actions now. */
+    void performActions(Router.Action... actions) {
+        nextActions.addAll(List.of(actions));
         broker.updateEngines(new Router.Members(Router.ListKind.CHANGES, ++listVersion, List.of()));
     }
 
-    EngineTransport.AnswerListener lastSent() {
-        return sent.get(sent.size() - 1);
+    EngineTransport.AnswerListener lastListener() {
+        return listeners.get(listeners.size() - 1);
     }
 
-    private EngineTransport engines() {
+    private EngineTransport transport() {
         return new EngineTransport() {
             @Override
             public AttemptHandle send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
-                    AnswerListener answer) {
-                sent.add(answer);
-                permits.add(mayBegin);
-                return sending();
+                    AnswerListener listener) {
+                listeners.add(listener);
+                beginChecks.add(mayBegin);
+                return attemptHandle();
             }
 
             @Override
-            public void release(long engine, String id, double untilMs, Consumer<ReleaseResult> ended) {
-                if (engine == READER) releasedAtMs.add(loop.now);
-                if (engine == OTHER_READER) otherReleasedAtMs.add(loop.now);
+            public void release(long engine, String id, double untilMs, Consumer<ReleaseResult> onEnded) {
+                if (engine == READER) releaseTimesMs.add(loop.now);
+                if (engine == OTHER_READER) otherReleaseTimesMs.add(loop.now);
                 if (!answersReleases) return;
-                loop.schedule(loop.now + ANSWER_MS, () -> ended.accept(new ReleaseResult(true, 1, ANSWER_MS)));
+                loop.schedule(loop.now + RELEASE_ANSWER_MS,
+                        () -> onEnded.accept(new ReleaseResult(true, 1, RELEASE_ANSWER_MS)));
             }
         };
     }
 
-    private EngineTransport.AttemptHandle sending() {
+    private EngineTransport.AttemptHandle attemptHandle() {
         return new EngineTransport.AttemptHandle() {
             @Override
             public boolean unsent() {
@@ -129,33 +132,33 @@
         return new Caller() {
             @Override
             public boolean hasDisconnected() {
-                return callerLeft;
+                return callerDisconnected;
             }
 
             @Override
             public boolean event(byte[] event) {
-                events++;
+                eventCount++;
                 return true;
             }
 
             @Override
             public void end() {
-                answers.add("end");
+                finalAnswers.add("end");
             }
 
             @Override
             public void broken() {
-                answers.add("broken");
+                finalAnswers.add("broken");
             }
 
             @Override
             public void refuse(Why why, double retryAfterMs) {
-                answers.add("refuse");
+                finalAnswers.add("refuse");
             }
 
             @Override
             public void fail(Why why) {
-                answers.add("fail");
+                finalAnswers.add("fail");
             }
         };
     }
--- a/src/test/java/maplerail/core/LifecycleTest.java
+++ b/src/test/java/maplerail/core/LifecycleTest.java
@@ -14,16 +14,16 @@
             "DRAINING READY,false", "READY DRAINING FINISHING STOPPED,true", "READY FINISHING,false",
             "DRAINING FINISHING DRAINING,false", "STOPPED,true", "STOPPED STARTING,false",
             "DRAINING STOPPED DRAINING,false"})
-    void onlyLegalMovesAreMade(String moves, boolean legal) {
+    void onlyLegalTransitionsAreAllowed(String phases, boolean legal) {
         Lifecycle lifecycle = new Lifecycle();
-        Runnable all = () -> {
-            for (String to : moves.split(" ")) lifecycle.moveTo(Phase.valueOf(to));
+        Runnable makeTransitions = () -> {
+            for (String to : phases.split(" ")) lifecycle.moveTo(Phase.valueOf(to));
         };
         if (legal) {
-            all.run();
-            assertThat(lifecycle.phase().name()).isEqualTo(moves.substring(moves.lastIndexOf(' ') + 1));
+            makeTransitions.run();
+            assertThat(lifecycle.phase().name()).isEqualTo(phases.substring(phases.lastIndexOf(' ') + 1));
         } else {
-            assertThatThrownBy(all::run).isInstanceOf(IllegalStateException.class);
+            assertThatThrownBy(makeTransitions::run).isInstanceOf(IllegalStateException.class);
         }
     }
 }
--- a/src/test/java/maplerail/core/LostReadTest.java
+++ b/src/test/java/maplerail/core/LostReadTest.java
@@ -1,9 +1,9 @@
 package maplerail.core;
 
-import static maplerail.core.BrokerRig.DEADLINE_MS;
-import static maplerail.core.BrokerRig.PIN_LIMIT_MS;
-import static maplerail.core.BrokerRig.READER;
-import static maplerail.core.BrokerRig.WRITER;
+import static maplerail.core.BrokerFixture.DEADLINE_MS;
+import static maplerail.core.BrokerFixture.PIN_LIMIT_MS;
+import static maplerail.core.BrokerFixture.READER;
+import static maplerail.core.BrokerFixture.WRITER;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -16,119 +16,120 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What a read that was cut off, or whose answer has come, may leave at its reader, and when that is let go. While a read
- * is waited for nothing is released: a release lets go of all that is held for the request, and ends that read's use.
+ * Tests when a state is released that an aborted or answered read may leave at its reader. Nothing is released while a
+ * read is in flight: a release frees everything that is held for the request, and makes that read useless.
  */
 class LostReadTest {
-    private static final double LONG_MS = 1e9;
-    private static final double STEP_MS = 10; // between two times at which a reader may begin to hold
-    private static final double CUT_MS = 100; // after the send
-    private static final double SLACK_MS = 300; // that the rules on sockets add to the limit
+    private static final double FAR_FUTURE_MS = 1e9;
+    private static final double STEP_MS = 10; // between two tested times at which a state begins to be held
+    private static final double ABORT_DELAY_MS = 100; // from the send to the abort
+    private static final double RELEASE_SLACK_MS = 300; // added to the limit by the protocol rules for sockets
 
-    private final BrokerRig rig = new BrokerRig();
+    private final BrokerFixture fixture = new BrokerFixture();
 
     @BeforeEach
     void readersAnswerReleases() {
-        rig.answersReleases = true;
+        fixture.answersReleases = true;
     }
 
-    private EngineTransport.AnswerListener readOut() {
-        rig.take("a1", new Router.Send(1, READER, LONG_MS));
-        return rig.lastSent();
+    private EngineTransport.AnswerListener startRead() {
+        fixture.submit("a1", new Router.Send(1, READER, FAR_FUTURE_MS));
+        return fixture.lastListener();
     }
 
-    /** A state that begins at any time between these two is let go within so long. */
-    private void assertFollowedByAReleaseWithin(double limitMs, double fromMs, double untilMs) {
-        for (double t = fromMs; t <= untilMs; t += STEP_MS) {
-            double heldFromMs = t;
-            assertThat(rig.releasedAtMs).as("releases for a state held from %s ms after the send", t - fromMs)
+    /** Asserts that a state which begins to be held between these times is released within the limit. */
+    private void assertReleasedWithin(double limitMs, double fromMs, double untilMs) {
+        for (double timeMs = fromMs; timeMs <= untilMs; timeMs += STEP_MS) {
+            double heldFromMs = timeMs;
+            assertThat(fixture.releaseTimesMs)
+                    .as("releases for a state held from %s ms after the send", timeMs - fromMs)
                     .anyMatch(at -> at >= heldFromMs && at <= heldFromMs + limitMs);
         }
     }
 
-    /** No reader has it, so that a release would be a call for nothing. */
+    /** No reader has the read, so a release would be a useless call. */
     @Test
-    void aReadThatHasNotLeftNeedsNoRelease() {
-        rig.unsent = true;
-        double orderedMs = rig.loop.now;
-        readOut();
-        rig.loop.until(orderedMs + 3 * PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).isEmpty();
+    void anUnsentReadNeedsNoRelease() {
+        fixture.unsent = true;
+        double orderedMs = fixture.loop.now;
+        startRead();
+        fixture.loop.until(orderedMs + 3 * PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).isEmpty();
     }
 
-    /** However many releases went out before the answer: what a write waits for stays for its lease. */
+    /** However many releases were sent before the answer, a state that a write needs is kept for its lease. */
     @ParameterizedTest
     @ValueSource(doubles = {0.1, 0.5, 0.9, 1, 1.3, 2.6})
-    void theAnswerOfAReadEndsItsReleasesAndBeginsItsLease(double readTerms) {
-        EngineTransport.AnswerListener read = readOut();
-        rig.loop.until(rig.loop.now + readTerms * PIN_LIMIT_MS);
-        rig.next.add(new Router.Send(1, WRITER, LONG_MS));
+    void anAnsweredReadStopsItsReleasesAndStartsItsLease(double readLeaseTerms) {
+        EngineTransport.AnswerListener read = startRead();
+        fixture.loop.until(fixture.loop.now + readLeaseTerms * PIN_LIMIT_MS);
+        fixture.nextActions.add(new Router.Send(1, WRITER, FAR_FUTURE_MS));
         read.ended(Outcome.READ, 0);
-        rig.releasedAtMs.clear();
-        double answeredMs = rig.loop.now;
-        rig.loop.until(answeredMs + 2 * PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).containsExactly(answeredMs + PIN_LIMIT_MS);
+        fixture.releaseTimesMs.clear();
+        double answeredMs = fixture.loop.now;
+        fixture.loop.until(answeredMs + 2 * PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).containsExactly(answeredMs + PIN_LIMIT_MS);
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {0.1, 0.9, 1, 2.6})
-    void nothingIsReleasedThatAWriteWaitsForWhoseAnswerHasBegun(double readTerms) {
-        EngineTransport.AnswerListener read = readOut();
-        rig.loop.until(rig.loop.now + readTerms * PIN_LIMIT_MS);
-        rig.next.add(new Router.Send(1, WRITER, LONG_MS));
+    void aStateIsNotReleasedOnceItsWriteIsBeingAnswered(double readLeaseTerms) {
+        EngineTransport.AnswerListener read = startRead();
+        fixture.loop.until(fixture.loop.now + readLeaseTerms * PIN_LIMIT_MS);
+        fixture.nextActions.add(new Router.Send(1, WRITER, FAR_FUTURE_MS));
         read.ended(Outcome.READ, 0);
-        rig.answerBegun = true;
-        rig.releasedAtMs.clear();
-        rig.loop.until(rig.loop.now + 3 * PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).isEmpty();
+        fixture.answerBegun = true;
+        fixture.releaseTimesMs.clear();
+        fixture.loop.until(fixture.loop.now + 3 * PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).isEmpty();
     }
 
-    /** How a read ends unanswered. */
-    private enum Cut {
+    /** How a read ends without an answer. */
+    private enum AbortCause {
         CANCELLED, RESET, CLIENT_LEFT
     }
 
-    /** Ends the first read, upon which the module orders this in the same breath. */
-    private void cut(Cut how, EngineTransport.AnswerListener read, Router.Action... then) {
-        if (how == Cut.CANCELLED) rig.next.add(new Router.Cancel(1, 0));
-        rig.next.addAll(List.of(then));
-        switch (how) {
-            case CANCELLED -> rig.order();
+    /** Ends the first read, upon which the module orders these actions in the same step. */
+    private void abort(AbortCause cause, EngineTransport.AnswerListener read, Router.Action... nextActions) {
+        if (cause == AbortCause.CANCELLED) fixture.nextActions.add(new Router.Cancel(1, 0));
+        fixture.nextActions.addAll(List.of(nextActions));
+        switch (cause) {
+            case CANCELLED -> fixture.performActions();
             case RESET -> read.ended(Outcome.RESET, 0);
-            default -> rig.handle.cancel();
+            default -> fixture.handle.cancel();
         }
     }
 
     /**
-     * Whether an engine stops is up to the engine, and one whose connection has fallen silent hears nothing of the end. It
-     * turns a request away whose time is over, as it was told: until then a read that waited in its queue may begin.
+     * An engine need not stop an aborted read, and does not learn of the abort if its connection has fallen silent. It
+     * refuses a request whose deadline has passed; until then, a read in its queue may begin.
      */
     @ParameterizedTest
     @EnumSource
-    void aReadThatWasCutOffIsFollowedByReleasesForTheTimeThatItsReaderWasTold(Cut how) {
-        double sentMs = rig.loop.now;
-        EngineTransport.AnswerListener read = readOut();
-        rig.loop.until(sentMs + CUT_MS);
-        cut(how, read);
-        rig.loop.until(sentMs + 2 * DEADLINE_MS);
-        assertFollowedByAReleaseWithin(PIN_LIMIT_MS + SLACK_MS, sentMs + CUT_MS, sentMs + DEADLINE_MS);
+    void releasesFollowAnAbortedReadUntilTheDeadlineGivenToItsReader(AbortCause cause) {
+        double sentMs = fixture.loop.now;
+        EngineTransport.AnswerListener read = startRead();
+        fixture.loop.until(sentMs + ABORT_DELAY_MS);
+        abort(cause, read);
+        fixture.loop.until(sentMs + 2 * DEADLINE_MS);
+        assertReleasedWithin(PIN_LIMIT_MS + RELEASE_SLACK_MS, sentMs + ABORT_DELAY_MS, sentMs + DEADLINE_MS);
     }
 
-    /** The second read at a reader covers the first only until its answer: then its state is waited for. */
+    /** The second read at a reader holds back releases for the first. Once answered, its own state must be kept. */
     @ParameterizedTest
     @EnumSource(names = {"CANCELLED", "RESET"})
-    void aStateOfASecondReadAtTheSameReaderStaysForItsWrite(Cut how) {
-        double sentMs = rig.loop.now;
-        EngineTransport.AnswerListener read = readOut();
-        rig.loop.until(sentMs + CUT_MS);
-        cut(how, read, new Router.Send(1, READER, LONG_MS));
-        assertThat(rig.sent).hasSize(2);
-        rig.loop.until(sentMs + 2 * CUT_MS);
-        rig.next.add(new Router.Send(1, WRITER, LONG_MS));
-        rig.lastSent().ended(Outcome.READ, 0);
-        rig.releasedAtMs.clear();
-        double answeredMs = rig.loop.now;
-        rig.loop.until(answeredMs + PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).containsExactly(answeredMs + PIN_LIMIT_MS);
+    void theStateOfASecondReadAtTheSameReaderIsKeptForItsWrite(AbortCause cause) {
+        double sentMs = fixture.loop.now;
+        EngineTransport.AnswerListener read = startRead();
+        fixture.loop.until(sentMs + ABORT_DELAY_MS);
+        abort(cause, read, new Router.Send(1, READER, FAR_FUTURE_MS));
+        assertThat(fixture.listeners).hasSize(2);
+        fixture.loop.until(sentMs + 2 * ABORT_DELAY_MS);
+        fixture.nextActions.add(new Router.Send(1, WRITER, FAR_FUTURE_MS));
+        fixture.lastListener().ended(Outcome.READ, 0);
+        fixture.releaseTimesMs.clear();
+        double answeredMs = fixture.loop.now;
+        fixture.loop.until(answeredMs + PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).containsExactly(answeredMs + PIN_LIMIT_MS);
     }
 }
--- a/src/test/java/maplerail/core/LostWriteTest.java
+++ b/src/test/java/maplerail/core/LostWriteTest.java
@@ -1,9 +1,9 @@
 package maplerail.core;
 
-import static maplerail.core.BrokerRig.OTHER_READER;
-import static maplerail.core.BrokerRig.PIN_LIMIT_MS;
-import static maplerail.core.BrokerRig.READER;
-import static maplerail.core.BrokerRig.WRITER;
+import static maplerail.core.BrokerFixture.OTHER_READER;
+import static maplerail.core.BrokerFixture.PIN_LIMIT_MS;
+import static maplerail.core.BrokerFixture.READER;
+import static maplerail.core.BrokerFixture.WRITER;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import maplerail.Router;
@@ -13,113 +13,116 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A write that was sent on a connection which had fallen silent has not arrived: it is not out, and the time in which
- * the state that it was to fetch must be let go runs on.
+ * Guards against a write that is lost on a connection which had fallen silent: the write does not count as in flight,
+ * and the time in which the state that it was to fetch must be released continues to run.
  */
 class LostWriteTest {
-    private static final double SLACK_MS = 300; // of the rule, for the release to arrive
-    private static final double READ_MS = 100;
-    private static final double LONG_MS = 1e9;
+    private static final double RELEASE_SLACK_MS = 300; // allowed by the rule for the release to arrive
+    private static final double READ_DURATION_MS = 100;
+    private static final double FAR_FUTURE_MS = 1e9;
 
-    private final BrokerRig rig = new BrokerRig();
+    private final BrokerFixture fixture = new BrokerFixture();
 
-    /** A request whose read has ended now and whose write is out. */
-    private EngineTransport.AnswerListener writeOut(int number) {
-        rig.take("a" + number, new Router.Send(number, READER, LONG_MS));
-        EngineTransport.AnswerListener read = rig.lastSent();
-        rig.loop.until(rig.loop.now + READ_MS);
-        rig.next.add(new Router.Send(number, WRITER, LONG_MS));
+    /** Starts a request whose read has just ended and whose write is in flight. */
+    private EngineTransport.AnswerListener startWrite(int number) {
+        fixture.submit("a" + number, new Router.Send(number, READER, FAR_FUTURE_MS));
+        EngineTransport.AnswerListener read = fixture.lastListener();
+        fixture.loop.until(fixture.loop.now + READ_DURATION_MS);
+        fixture.nextActions.add(new Router.Send(number, WRITER, FAR_FUTURE_MS));
         read.ended(Outcome.READ, 0);
-        return rig.lastSent();
+        return fixture.lastListener();
     }
 
     @Test
-    void aStateIsLetGoInTimeIfItsWriteIsNotHeardOnAKeptConnection() {
-        writeOut(1);
-        double readEndedMs = rig.loop.now;
-        rig.loop.until(readEndedMs + PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).isNotEmpty();
-        assertThat(rig.releasedAtMs.get(0)).isLessThan(readEndedMs + PIN_LIMIT_MS + SLACK_MS / 2);
+    void aStateIsReleasedInTimeIfItsWriteIsLostOnAReusedConnection() {
+        startWrite(1);
+        double readEndedMs = fixture.loop.now;
+        fixture.loop.until(readEndedMs + PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).isNotEmpty();
+        assertThat(fixture.releaseTimesMs.get(0)).isLessThan(readEndedMs + PIN_LIMIT_MS + RELEASE_SLACK_MS / 2);
     }
 
-    /** Its reader may read on, and then holds a state after the request has gone on elsewhere and been served. */
+    /** The reader may finish a reset read and hold its state after the request was served elsewhere. */
     @Test
-    void whatAReadLeavesWhoseConnectionBrokeIsLetGoThoughItsRequestWasServed() {
-        rig.take("a1", new Router.Send(1, READER, LONG_MS));
-        rig.next.add(new Router.Send(1, OTHER_READER, LONG_MS));
-        rig.lastSent().ended(Outcome.RESET, 0);
-        rig.next.add(new Router.Send(1, WRITER, LONG_MS));
-        rig.lastSent().ended(Outcome.READ, 0);
-        rig.lastSent().event(new byte[1]);
-        rig.lastSent().ended(Outcome.SERVED, 0);
-        double servedMs = rig.loop.now;
-        rig.loop.until(servedMs + 1_000);
-        assertThat(rig.releasedAtMs).hasSizeGreaterThan(1);
-        assertThat(rig.releasedAtMs.get(0)).isEqualTo(servedMs);
+    void theStateOfAResetReadIsReleasedAfterItsRequestWasServed() {
+        fixture.submit("a1", new Router.Send(1, READER, FAR_FUTURE_MS));
+        fixture.nextActions.add(new Router.Send(1, OTHER_READER, FAR_FUTURE_MS));
+        fixture.lastListener().ended(Outcome.RESET, 0);
+        fixture.nextActions.add(new Router.Send(1, WRITER, FAR_FUTURE_MS));
+        fixture.lastListener().ended(Outcome.READ, 0);
+        fixture.lastListener().event(new byte[1]);
+        fixture.lastListener().ended(Outcome.SERVED, 0);
+        double servedMs = fixture.loop.now;
+        fixture.loop.until(servedMs + 1_000);
+        assertThat(fixture.releaseTimesMs).hasSizeGreaterThan(1);
+        assertThat(fixture.releaseTimesMs.get(0)).isEqualTo(servedMs);
     }
 
-    /** The system of a process that is stopped takes its connections; only an answer proves that it runs. */
+    /** The operating system accepts connections for a stopped process; only an answer proves that it runs. */
     @Test
-    void aStateStaysForAWriteWhoseAnswerHasBegunAndForNoOther() {
-        rig.answerBegun = true;
-        writeOut(1);
-        rig.loop.until(rig.loop.now + 3 * PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).isEmpty();
-        rig.answerBegun = false;
-        writeOut(2);
-        double readEndedMs = rig.loop.now;
-        rig.loop.until(readEndedMs + 3 * PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).contains(readEndedMs + PIN_LIMIT_MS);
+    void aStateIsKeptOnlyForAWriteWhoseAnswerHasBegun() {
+        fixture.answerBegun = true;
+        startWrite(1);
+        fixture.loop.until(fixture.loop.now + 3 * PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).isEmpty();
+        fixture.answerBegun = false;
+        startWrite(2);
+        double readEndedMs = fixture.loop.now;
+        fixture.loop.until(readEndedMs + 3 * PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).contains(readEndedMs + PIN_LIMIT_MS);
     }
 
     @Test
-    void aStateIsLetGoInTimeThoughWritersUsuallyTakeNearlyAsLong() {
+    void aStateIsReleasedInTimeThoughWritersUsuallyTakeNearlyAsLong() {
         for (int number = 1; number <= 5; number++) {
-            EngineTransport.AnswerListener write = writeOut(number);
-            rig.loop.until(rig.loop.now + 0.6 * PIN_LIMIT_MS);
+            EngineTransport.AnswerListener write = startWrite(number);
+            fixture.loop.until(fixture.loop.now + 0.6 * PIN_LIMIT_MS);
             write.event(new byte[1]);
             write.ended(Outcome.SERVED, 0);
         }
-        assertThat(rig.releasedAtMs).as("a stream that has begun has taken its state").isEmpty();
-        writeOut(6);
-        double readEndedMs = rig.loop.now;
-        rig.loop.until(readEndedMs + 1.5 * PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).containsExactly(readEndedMs + PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).as("a stream that has begun has fetched its state").isEmpty();
+        startWrite(6);
+        double readEndedMs = fixture.loop.now;
+        fixture.loop.until(readEndedMs + 1.5 * PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).containsExactly(readEndedMs + PIN_LIMIT_MS);
     }
 
-    /** Neither what is called off nor a connection that does not come up was out for certain: the lease runs on. */
+    /**
+     * Neither a cancelled write nor a connection that failed proves that the write was in flight: the lease runs on.
+     */
     @ParameterizedTest
     @EnumSource(names = {"CANCELLED", "TIMEOUT", "RESET", "UNREACHABLE"})
-    void aWriteThatEndsWithNoAnswerDoesNotPutOffTheEndOfTheLease(Outcome unheard) {
-        EngineTransport.AnswerListener first = writeOut(1);
-        double readEndedMs = rig.loop.now;
-        rig.loop.until(readEndedMs + 0.8 * PIN_LIMIT_MS);
-        first.ended(unheard, 0);
-        rig.loop.until(readEndedMs + 2 * PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).isNotEmpty();
-        assertThat(rig.releasedAtMs.get(0)).isLessThanOrEqualTo(readEndedMs + PIN_LIMIT_MS);
+    void aWriteThatEndsUnansweredDoesNotExtendTheLease(Outcome outcome) {
+        EngineTransport.AnswerListener first = startWrite(1);
+        double readEndedMs = fixture.loop.now;
+        fixture.loop.until(readEndedMs + 0.8 * PIN_LIMIT_MS);
+        first.ended(outcome, 0);
+        fixture.loop.until(readEndedMs + 2 * PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).isNotEmpty();
+        assertThat(fixture.releaseTimesMs.get(0)).isLessThanOrEqualTo(readEndedMs + PIN_LIMIT_MS);
     }
 
+    /** A refusal proves that the writer was running. */
     @Test
-    void aWriterThatTurnsItsRequestAwayWasRunningAndTheLeaseBeginsAnew() {
-        EngineTransport.AnswerListener first = writeOut(1);
-        double readEndedMs = rig.loop.now;
-        rig.loop.until(readEndedMs + 0.8 * PIN_LIMIT_MS);
-        rig.next.add(new Router.Send(1, WRITER, LONG_MS));
+    void aRefusalByAWriterRenewsTheLease() {
+        EngineTransport.AnswerListener first = startWrite(1);
+        double readEndedMs = fixture.loop.now;
+        fixture.loop.until(readEndedMs + 0.8 * PIN_LIMIT_MS);
+        fixture.nextActions.add(new Router.Send(1, WRITER, FAR_FUTURE_MS));
         first.ended(Outcome.FULL, 0);
-        rig.loop.until(readEndedMs + 1.7 * PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).isEmpty();
-        rig.loop.until(readEndedMs + 2 * PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).containsExactly(readEndedMs + 1.8 * PIN_LIMIT_MS);
+        fixture.loop.until(readEndedMs + 1.7 * PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).isEmpty();
+        fixture.loop.until(readEndedMs + 2 * PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).containsExactly(readEndedMs + 1.8 * PIN_LIMIT_MS);
     }
 
-    /** The reader's time runs from its answer, whenever this program comes to read that. */
+    /** The reader's time runs from its answer, no matter when the gateway reads that answer. */
     @Test
-    void theLeaseBeginsWhenTheAnswerCanHaveComeThoughTheLoopIsBehind() {
-        rig.loop.behindMs = 0.4 * PIN_LIMIT_MS;
-        writeOut(1);
-        double readAnsweredMs = rig.loop.now - rig.loop.behindMs;
-        rig.loop.until(rig.loop.now + PIN_LIMIT_MS);
-        assertThat(rig.releasedAtMs).containsExactly(readAnsweredMs + PIN_LIMIT_MS);
+    void theLeaseBeginsAtTheEarliestArrivalOfTheAnswerOnALaggingLoop() {
+        fixture.loop.behindMs = 0.4 * PIN_LIMIT_MS;
+        startWrite(1);
+        double readAnsweredMs = fixture.loop.now - fixture.loop.behindMs;
+        fixture.loop.until(fixture.loop.now + PIN_LIMIT_MS);
+        assertThat(fixture.releaseTimesMs).containsExactly(readAnsweredMs + PIN_LIMIT_MS);
     }
 }
--- a/src/test/java/maplerail/core/ServiceRequestTest.java
+++ b/src/test/java/maplerail/core/ServiceRequestTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Guards against a deadline that moves on while a request lies in a queue or the program is held up. */
+/** Guards against a deadline that moves while a request waits in a queue or the process is delayed. */
 class ServiceRequestTest {
     private static final double BUDGET_MS = 2_000;
 
@@ -13,13 +13,13 @@
     }
 
     @Test
-    void theDeadlineRunsFromWhenItWasSentWheneverItIsTaken() {
+    void theDeadlineDependsOnlyOnTheSendTime() {
         assertThat(sentAt(1_000).deadlineMs(1_000)).isEqualTo(3_000);
         assertThat(sentAt(1_000).deadlineMs(1_700)).isEqualTo(3_000);
     }
 
     @Test
-    void oneThatIsSentAsItIsTakenHasAllOfItsTime() {
+    void aRequestWithoutASendTimeHasItsFullBudget() {
         assertThat(sentAt(Double.NaN).deadlineMs(1_700)).isEqualTo(3_700);
     }
 }
--- a/src/test/java/maplerail/core/WithdrawnAttemptTest.java
+++ b/src/test/java/maplerail/core/WithdrawnAttemptTest.java
@@ -7,49 +7,49 @@
 import maplerail.Router.State;
 import org.junit.jupiter.api.Test;
 
-/** An attempt of which nothing has gone out is withdrawn when it must not begin any more. */
+/** Tests that an attempt without a sent byte is withdrawn when it must no longer begin. */
 class WithdrawnAttemptTest extends ScriptedBroker {
     @Test
-    void whatHasNotGoneOutObeysADrain() {
-        take("a", send(WRITER));
+    void unsentAttemptsAreWithdrawnOnADrain() {
+        submit("a", send(WRITER));
         unsent = true;
-        list(State.DRAINING);
-        assertThat(out.get(0).aborted).isTrue();
+        listEngines(State.DRAINING);
+        assertThat(sentAttempts.get(0).aborted).isTrue();
         assertThat(outcomes()).containsExactly(Outcome.UNREACHABLE);
-        act(send(WRITER));
-        assertThat(out).hasSize(1);
+        performActions(send(WRITER));
+        assertThat(sentAttempts).hasSize(1);
         assertThat(outcomes()).containsExactly(Outcome.UNREACHABLE, Outcome.NOT_SENT);
     }
 
-    /** A repeat is dropped by engines for a limited time only: one that waits for a connection must not go after it. */
+    /** Engines drop a repeat for a limited time only: one that waits for a connection must not be sent after it. */
     @Test
-    void anAttemptThatHasNotGoneOutByItsTimeIsWithdrawn() {
+    void anAttemptNotSentByItsStartLimitIsWithdrawn() {
         unsent = true;
-        take("a", new Router.Send(1, WRITER, 0, 1_300));
+        submit("a", new Router.Send(1, WRITER, 0, 1_300));
         loop.until(1_299);
-        assertThat(out.get(0).aborted).isFalse();
+        assertThat(sentAttempts.get(0).aborted).isFalse();
         loop.until(1_300);
-        assertThat(out.get(0).aborted).isTrue();
+        assertThat(sentAttempts.get(0).aborted).isTrue();
         assertThat(outcomes()).containsExactly(Outcome.UNREACHABLE);
         unsent = false;
-        take("b", new Router.Send(2, WRITER, 0, 1_500));
+        submit("b", new Router.Send(2, WRITER, 0, 1_500));
         loop.until(1_600);
-        assertThat(out.get(1).aborted).as("it has gone out in time").isFalse();
+        assertThat(sentAttempts.get(1).aborted).as("it was sent in time").isFalse();
     }
 
-    /** The module sends what was withdrawn elsewhere at once, while others wait to be withdrawn. */
+    /** The module sends a withdrawn request elsewhere at once, while other attempts are still to be withdrawn. */
     @Test
-    void allThatHasNotGoneOutObeysADrainThoughOthersAreSentMeanwhile() {
-        take("a", send(WRITER));
-        take("b", new Router.Send(2, WRITER, 0));
+    void allUnsentAttemptsAreWithdrawnThoughOthersAreSentMeanwhile() {
+        submit("a", send(WRITER));
+        submit("b", new Router.Send(2, WRITER, 0));
         unsent = true;
-        whenAborted = () -> {
-            if (out.size() == 2) next.add(send(READER));
+        onAbort = () -> {
+            if (sentAttempts.size() == 2) nextActions.add(send(READER));
         };
-        list(State.DRAINING);
-        assertThat(out.get(0).aborted).isTrue();
-        assertThat(out.get(1).aborted).isTrue();
-        assertThat(out).hasSize(3);
-        assertThat(out.get(2).aborted).isFalse();
+        listEngines(State.DRAINING);
+        assertThat(sentAttempts.get(0).aborted).isTrue();
+        assertThat(sentAttempts.get(1).aborted).isTrue();
+        assertThat(sentAttempts).hasSize(3);
+        assertThat(sentAttempts.get(2).aborted).isFalse();
     }
 }
