--- a/src/test/java/maplerail/core/AbortedReadTest.java
+++ b/src/test/java/maplerail/core/AbortedReadTest.java
@@ -24,8 +24,8 @@
         double engineDeadlineMs = 1_000 + 5_000;
         double latestReadEndMs = engineDeadlineMs + 1_600;
         assertThat(releaseTimesMs).as("a read in the queue may begin until the deadline given to its reader")
-                .hasSizeBetween(7, 25)
-                .allMatch(atMs -> atMs <= latestReadEndMs + 500).anyMatch(atMs -> atMs > latestReadEndMs);
+                .hasSizeBetween(7, 25).allMatch(atMs -> atMs <= latestReadEndMs + 500)
+                .anyMatch(atMs -> atMs > latestReadEndMs);
         assertThat(releases).containsOnly("1/a");
     }
 
--- a/src/test/java/maplerail/core/CancelledAttemptTest.java
+++ b/src/test/java/maplerail/core/CancelledAttemptTest.java
@@ -50,7 +50,7 @@
         sentAttempts.get(0).listener.ended(Outcome.READ, 0);
         enginesReachable = false;
         performActions(new Router.Fail(1), new Cancel(1, 1), new Release(1));
-        assertThat(callerEvents).as("the client hears at once").containsExactly("fail ENGINE");
+        assertThat(callerEvents).as("the client is answered at once").containsExactly("fail ENGINE");
         loop.until(8_900);
         assertThat(sentAttempts.get(1).aborted).isFalse();
         enginesReachable = true;
@@ -72,7 +72,7 @@
         sentAttempts.get(1).listener.ended(Outcome.STATE_GONE, 0);
         enginesReachable = false;
         performActions(new Router.Fail(1), new Cancel(1, 2), new Release(1));
-        assertThat(callerEvents).as("the client hears at once").containsExactly("fail ENGINE");
+        assertThat(callerEvents).as("the client is answered at once").containsExactly("fail ENGINE");
         assertThat(sentAttempts.get(2).aborted).isFalse();
         enginesReachable = true;
         nextActions.add(new Release(1));
