--- a/src/main/java/maplerail/discovery/BlockingQuery.java
+++ b/src/main/java/maplerail/discovery/BlockingQuery.java
@@ -9,7 +9,7 @@
 import maplerail.net.Call;
 import maplerail.net.ConnectionPool;
 import maplerail.net.Requests;
-import maplerail.net.TextReply;
+import maplerail.net.TextResponseHandler;
 import maplerail.net.XnioLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -68,7 +68,7 @@
         return index < last ? 0 : index;
     }
 
-    private final class QueryCall extends TextReply {
+    private final class QueryCall extends TextResponseHandler {
         private final InetSocketAddress asked = at;
 
         @Override
--- a/src/main/java/maplerail/discovery/PlatformWatch.java
+++ b/src/main/java/maplerail/discovery/PlatformWatch.java
@@ -12,7 +12,7 @@
 import maplerail.net.Call;
 import maplerail.net.ConnectionPool;
 import maplerail.net.Requests;
-import maplerail.net.TextReply;
+import maplerail.net.TextResponseHandler;
 import maplerail.net.XnioLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -91,7 +91,7 @@
         trouble = now;
     }
 
-    private final class WatchCall extends TextReply {
+    private final class WatchCall extends TextResponseHandler {
         private final InetSocketAddress asked = at;
         private final double askedMs = loop.nowMs();
         private boolean refused;
--- a/src/main/java/maplerail/net/Call.java
+++ b/src/main/java/maplerail/net/Call.java
@@ -23,12 +23,12 @@
     private final Supplier<ClientRequest> request;
     private final byte[] body;
     private final BooleanSupplier mayBegin;
-    private final Reply reply;
-    private final AnswerReader reader;
+    private final ResponseHandler reply;
+    private final ResponseParser reader;
     private final boolean urgent;
     /** Head and body; null until there is a connection to write them to. */
     private ByteBuffer bytes;
-    private Link link;
+    private PooledConnection link;
     private Runnable disconnect;
     private Loop.ScheduledTask limit;
     private boolean needsNewConnection;
@@ -47,14 +47,15 @@
     private boolean done;
 
     /** Makes a call whose head is asked for when it is about to be written: what it tells of time must hold then. */
-    Call(ConnectionPool pool, Supplier<ClientRequest> request, byte[] body, BooleanSupplier mayBegin, Reply reply,
+    Call(ConnectionPool pool, Supplier<ClientRequest> request, byte[] body, BooleanSupplier mayBegin,
+            ResponseHandler reply,
             boolean urgent) {
         this.pool = pool;
         this.request = request;
         this.body = body;
         this.mayBegin = mayBegin;
         this.reply = reply;
-        this.reader = new AnswerReader(reply);
+        this.reader = new ResponseParser(reply);
         this.urgent = urgent;
         this.startMs = pool.loop().nowMs();
     }
@@ -162,7 +163,7 @@
         return done;
     }
 
-    void on(Link to) {
+    void on(PooledConnection to) {
         calm();
         disconnect = null;
         if (waited && !mayBegin.getAsBoolean()) {
@@ -248,7 +249,7 @@
 
     /** The answer is whole; a connection on which more came, or not all was written, is of no further use. */
     private void end(boolean clean) {
-        Link used = link;
+        PooledConnection used = link;
         boolean again = clean && reader.keepAlive() && written();
         if (again) link = null;
         finish();
@@ -272,9 +273,9 @@
         });
     }
 
-    private Reply.Failure failure() {
-        if (written()) return Reply.Failure.BROKEN;
-        return faultedHere && bytes == null ? Reply.Failure.LOCAL_FAULT : Reply.Failure.NEVER_SENT;
+    private ResponseHandler.Failure failure() {
+        if (written()) return ResponseHandler.Failure.BROKEN;
+        return faultedHere && bytes == null ? ResponseHandler.Failure.LOCAL_FAULT : ResponseHandler.Failure.NEVER_SENT;
     }
 
     /** True once the last byte has been written. */
--- a/src/main/java/maplerail/net/CallSending.java
+++ b/src/main/java/maplerail/net/CallHandle.java
@@ -3,7 +3,7 @@
 import maplerail.core.EngineTransport;
 
 /** A {@link Call} as the core sees it. */
-record CallSending(Call call) implements EngineTransport.AttemptHandle {
+record CallHandle(Call call) implements EngineTransport.AttemptHandle {
     @Override
     public String trace() {
         return call.trace();
--- a/src/main/java/maplerail/net/ConnectionPool.java
+++ b/src/main/java/maplerail/net/ConnectionPool.java
@@ -41,10 +41,10 @@
     private final double retireMs;
     private final double connectMs;
     private final int most;
-    private final Map<InetSocketAddress, ArrayDeque<Link>> idle = new HashMap<>();
+    private final Map<InetSocketAddress, ArrayDeque<PooledConnection>> idle = new HashMap<>();
     private final Map<InetSocketAddress, Integer> connecting = new HashMap<>();
     private final Map<InetSocketAddress, ArrayDeque<Call>> queued = new HashMap<>();
-    private final Set<Link> links = new HashSet<>();
+    private final Set<PooledConnection> links = new HashSet<>();
     private int connectingInAll;
     private boolean sweeping;
     private double faultPauseUntilMs = Double.NEGATIVE_INFINITY;
@@ -75,13 +75,13 @@
     }
 
     /** Starts a request; the reply hears of it after this call has returned. */
-    public Call start(InetSocketAddress to, ClientRequest request, byte[] body, Reply reply) {
+    public Call start(InetSocketAddress to, ClientRequest request, byte[] body, ResponseHandler reply) {
         boolean urgent = !request.getMethod().equals(Methods.POST);
         return start(to, new Call(this, () -> request, body, () -> true, reply, urgent));
     }
 
     /** The same on a connection of its own, where kept ones may have fallen silent. */
-    Call startOnNewConnection(InetSocketAddress to, ClientRequest request, byte[] body, Reply reply) {
+    Call startOnNewConnection(InetSocketAddress to, ClientRequest request, byte[] body, ResponseHandler reply) {
         Call call = new Call(this, () -> request, body, () -> true, reply, true);
         call.needsNewConnection();
         return start(to, call);
@@ -92,7 +92,7 @@
      * before its first byte whether it may still begin; who says no gives the call up.
      */
     public Call start(InetSocketAddress to, Supplier<ClientRequest> request, byte[] body, BooleanSupplier mayBegin,
-            Reply reply) {
+            ResponseHandler reply) {
         return start(to, new Call(this, request, body, mayBegin, reply, false));
     }
 
@@ -125,7 +125,7 @@
     }
 
     private boolean begin(InetSocketAddress to, Call call) {
-        Link ready = call.wantsNewConnection() ? null : fresh(to);
+        PooledConnection ready = call.wantsNewConnection() ? null : fresh(to);
         if (ready != null) {
             call.on(ready);
         } else if (faultPause() || connecting.getOrDefault(to, 0) >= MAX_CONNECTING || !room(call)) {
@@ -159,11 +159,11 @@
     }
 
     /** The last one used that has been quiet since; a second answer right behind the first must not meet a request. */
-    private Link fresh(InetSocketAddress to) {
-        ArrayDeque<Link> kept = idle.get(to);
+    private PooledConnection fresh(InetSocketAddress to) {
+        ArrayDeque<PooledConnection> kept = idle.get(to);
         if (kept == null) return null;
-        for (Iterator<Link> last = kept.descendingIterator(); last.hasNext();) {
-            Link link = last.next();
+        for (Iterator<PooledConnection> last = kept.descendingIterator(); last.hasNext();) {
+            PooledConnection link = last.next();
             double age = loop.nowMs() - link.idleSinceMs;
             if (age < SETTLE_MS && link.open()) continue;
             last.remove();
@@ -179,7 +179,7 @@
      */
     private boolean room(Call call) {
         if (links.size() + connectingInAll < most + (call.urgent() ? RESERVED : 0)) return true;
-        ArrayDeque<Link> oldest = idle.values().stream().filter(kept -> !kept.isEmpty())
+        ArrayDeque<PooledConnection> oldest = idle.values().stream().filter(kept -> !kept.isEmpty())
                 .min(Comparator.comparingDouble(kept -> kept.peekFirst().idleSinceMs)).orElse(null);
         if (oldest == null) return false;
         oldest.pollFirst().close();
@@ -212,7 +212,7 @@
             next(to);
             return;
         }
-        Link link = new Link(to, connection);
+        PooledConnection link = new PooledConnection(to, connection);
         links.add(link);
         connection.getCloseSetter().set(closed -> {
             links.remove(link);
@@ -250,7 +250,7 @@
         else List.copyOf(queued.keySet()).forEach(this::next);
     }
 
-    void keep(Link link) {
+    void keep(PooledConnection link) {
         link.idle(loop.nowMs());
         idle.computeIfAbsent(link.to, t -> new ArrayDeque<>()).addLast(link);
         if (queued.containsKey(link.to)) loop.schedule(loop.nowMs() + SETTLE_MS, () -> next(link.to));
@@ -260,7 +260,7 @@
 
     /** Guards against a write on a connection that its far side is about to close: that ends as a reset. */
     private void sweep() {
-        for (ArrayDeque<Link> kept : idle.values()) {
+        for (ArrayDeque<PooledConnection> kept : idle.values()) {
             kept.removeIf(link -> {
                 boolean old = !link.open() || loop.nowMs() - link.idleSinceMs >= retireMs;
                 if (old) link.close();
--- a/src/main/java/maplerail/net/EngineClient.java
+++ b/src/main/java/maplerail/net/EngineClient.java
@@ -47,7 +47,7 @@
         InetSocketAddress to = addresses.get(engine);
         Incoming incoming = new Incoming(answer);
         incoming.call = pool.start(to, () -> request(to, payload, untilMs), payload.body(), mayBegin, incoming);
-        return new CallSending(incoming.call);
+        return new CallHandle(incoming.call);
     }
 
     /** A client's request as it goes out now: the deadline that it tells is the time that is left. */
@@ -63,7 +63,7 @@
     }
 
     /** An engine's answer, told as an outcome. */
-    private final class Incoming implements Reply {
+    private final class Incoming implements ResponseHandler {
         private final AnswerListener answer;
         private Call call;
         private boolean over;
--- a/src/main/java/maplerail/net/Outcomes.java
+++ b/src/main/java/maplerail/net/Outcomes.java
@@ -27,7 +27,7 @@
     }
 
     /** What a call without a whole answer says; a head that proves that it never ran holds all the same. */
-    static Outcome broken(Outcome head, Reply.Failure failure) {
+    static Outcome broken(Outcome head, ResponseHandler.Failure failure) {
         if (head != null && head != Outcome.READ && head.hadNoEffect) return head;
         return switch (failure) {
             case LOCAL_FAULT -> Outcome.NOT_SENT;
--- a/src/main/java/maplerail/net/Link.java
+++ b/src/main/java/maplerail/net/PooledConnection.java
@@ -10,14 +10,14 @@
 import org.xnio.StreamConnection;
 
 /** An open connection of a {@link ConnectionPool}; one call has it at a time, or none. */
-final class Link {
-    private static final Logger LOG = LoggerFactory.getLogger(Link.class);
+final class PooledConnection {
+    private static final Logger LOG = LoggerFactory.getLogger(PooledConnection.class);
 
     final InetSocketAddress to;
     final StreamConnection connection;
     double idleSinceMs;
 
-    Link(InetSocketAddress to, StreamConnection connection) {
+    PooledConnection(InetSocketAddress to, StreamConnection connection) {
         this.to = to;
         this.connection = connection;
     }
--- a/src/main/java/maplerail/net/ReleaseCall.java
+++ b/src/main/java/maplerail/net/ReleaseCall.java
@@ -102,7 +102,7 @@
     }
 
     /** The answer to one try. */
-    private final class Try implements Reply {
+    private final class Try implements ResponseHandler {
         private Call call;
 
         @Override
--- a/src/main/java/maplerail/net/Reply.java
+++ b/src/main/java/maplerail/net/ResponseHandler.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 
 /** What hears the answer to a {@link Call}: a head, pieces of the body, then one end or failure. */
-public interface Reply {
+public interface ResponseHandler {
     /** Status line and headers have come. */
     void head(int status, HeaderMap headers);
 
--- a/src/main/java/maplerail/net/AnswerReader.java
+++ b/src/main/java/maplerail/net/ResponseParser.java
@@ -13,7 +13,7 @@
  * a size that it can't read for 0, the last chunk, and skips whatever stands behind a chunk; its head has no limit):
  * a stream that is spoilt must never end as if it were whole. A chunk is handed on once it proved to fit.
  */
-final class AnswerReader {
+final class ResponseParser {
     private static final int MOST_HEAD = 16 * 1024; // all heads of an answer, and the lines round its chunks
     private static final int MOST_CHUNK = 1 << 20;
     private static final int MOST_INTERIM = 16; // answers 1xx in front
@@ -22,7 +22,7 @@
 
     private enum At { HEAD, LENGTH, SIZE, CHUNK, TAIL, TRAILER, UNFRAMED, DONE }
 
-    private final Reply reply;
+    private final ResponseHandler reply;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private final ByteArrayOutputStream chunk = new ByteArrayOutputStream();
     private At at = At.HEAD;
@@ -36,7 +36,7 @@
     private boolean begun;
     private boolean headWhole;
 
-    AnswerReader(Reply reply) {
+    ResponseParser(ResponseHandler reply) {
         this.reply = reply;
     }
 
--- a/src/main/java/maplerail/net/TextReply.java
+++ b/src/main/java/maplerail/net/TextResponseHandler.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** A reply that is wanted whole, as text, once; what comes after its end is passed over. */
-public abstract class TextReply implements Reply {
+public abstract class TextResponseHandler implements ResponseHandler {
     private static final int MOST = 4 << 20;
 
     private final ByteArrayOutputStream text = new ByteArrayOutputStream();
--- a/src/main/java/maplerail/net/ToolClient.java
+++ b/src/main/java/maplerail/net/ToolClient.java
@@ -49,7 +49,7 @@
         Incoming incoming = new Incoming(answer, payload.mostReply());
         incoming.call = pool.start(to, () -> request(to, request.id(), payload, untilMs), payload.message(),
                 mayBegin, incoming);
-        return new CallSending(incoming.call);
+        return new CallHandle(incoming.call);
     }
 
     private ClientRequest request(InetSocketAddress to, String id, ToolPayload payload, double untilMs) {
@@ -62,7 +62,7 @@
         return request;
     }
 
-    private static final class Incoming implements Reply {
+    private static final class Incoming implements ResponseHandler {
         private final AnswerListener answer;
         private final int most;
         private final ByteArrayOutputStream text = new ByteArrayOutputStream();
--- a/src/test/java/maplerail/net/ConnectionPoolTest.java
+++ b/src/test/java/maplerail/net/ConnectionPoolTest.java
@@ -36,12 +36,12 @@
 
 class ConnectionPoolTest {
     @RegisterExtension
-    private final LoopOnWorker own;
+    private final TestLoop own;
     private final XnioLoop loop;
     private final BlockingQueue<String> heard = World.queue();
 
     ConnectionPoolTest() throws Exception {
-        own = new LoopOnWorker();
+        own = new TestLoop();
         loop = own.loop();
     }
 
@@ -67,7 +67,7 @@
         return take(heard);
     }
 
-    private record Heard(BlockingQueue<String> by) implements Reply {
+    private record Heard(BlockingQueue<String> by) implements ResponseHandler {
         @Override
         public void head(int status, HeaderMap headers) {}
 
--- a/src/test/java/maplerail/net/EngineClientTest.java
+++ b/src/test/java/maplerail/net/EngineClientTest.java
@@ -22,12 +22,12 @@
     private static final double CONNECT_TIMEOUT_MS = 20_000;
 
     @RegisterExtension
-    private final LoopOnWorker own;
+    private final TestLoop own;
     private final XnioLoop loop;
     private final BlockingQueue<String> heard = World.queue();
 
     EngineClientTest() throws Exception {
-        own = new LoopOnWorker();
+        own = new TestLoop();
         loop = own.loop();
     }
 
--- a/src/test/java/maplerail/net/AnswerReaderTest.java
+++ b/src/test/java/maplerail/net/ResponseParserTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class AnswerReaderTest {
-    private static final class Heard implements Reply {
+class ResponseParserTest {
+    private static final class Heard implements ResponseHandler {
         private final StringBuilder text = new StringBuilder();
 
         @Override
@@ -34,7 +34,7 @@
     /** What is heard of an answer fed in pieces, and how it stands then. */
     private static String feed(String answer, int piece) {
         Heard heard = new Heard();
-        AnswerReader reader = new AnswerReader(heard);
+        ResponseParser reader = new ResponseParser(heard);
         byte[] bytes = answer.replace('~', '\r').replace('^', '\n').getBytes(StandardCharsets.ISO_8859_1);
         int surplus = 0;
         try {
--- a/src/test/java/maplerail/net/SlowAnswerTest.java
+++ b/src/test/java/maplerail/net/SlowResponseTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Answers that come slowly and are sound, and those that stop, on a site whose states may be held for 250 ms. */
-class SlowAnswerTest {
+class SlowResponseTest {
     private static final double PIN_LIMIT_MS = 250;
     /** What the rules on sockets add to the pin limit. */
     private static final double SLACK_MS = 300;
@@ -35,17 +35,17 @@
     private static final String END = "0\r\n\r\n";
 
     @RegisterExtension
-    private final LoopOnWorker own;
+    private final TestLoop own;
     private final XnioLoop loop;
     private final BlockingQueue<String> heard = World.queue();
     private final StringBuilder came = new StringBuilder();
 
-    SlowAnswerTest() throws Exception {
-        own = new LoopOnWorker();
+    SlowResponseTest() throws Exception {
+        own = new TestLoop();
         loop = own.loop();
     }
 
-    private final class Heard implements Reply {
+    private final class Heard implements ResponseHandler {
         @Override
         public void head(int status, HeaderMap headers) {
             came.append(status).append(' ');
--- a/src/test/java/maplerail/net/LoopOnWorker.java
+++ b/src/test/java/maplerail/net/TestLoop.java
@@ -10,13 +10,13 @@
 import org.xnio.XnioWorker;
 
 /** A test's own event loop on a real thread, which ends with the test. */
-final class LoopOnWorker implements AfterEachCallback {
+final class TestLoop implements AfterEachCallback {
     private static final int BUFFER_BYTES = 8_192;
 
     private final XnioWorker worker;
     private final XnioLoop loop;
 
-    LoopOnWorker() throws IOException {
+    TestLoop() throws IOException {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         loop = new XnioLoop(worker.getIoThread());
     }
--- a/src/test/java/maplerail/net/XnioLoopTest.java
+++ b/src/test/java/maplerail/net/XnioLoopTest.java
@@ -12,12 +12,12 @@
     private static final double STOOD_STILL_MS = 200;
 
     @RegisterExtension
-    private final LoopOnWorker own;
+    private final TestLoop own;
     private final XnioLoop loop;
     private final BlockingQueue<String> heard = World.queue();
 
     XnioLoopTest() throws Exception {
-        own = new LoopOnWorker();
+        own = new TestLoop();
         loop = own.loop();
     }
 
