--- a/src/main/java/maplerail/discovery/BackOff.java
+++ b/src/main/java/maplerail/discovery/BackOff.java
@@ -3,37 +3,49 @@
 import java.util.SplittableRandom;
 
 /**
- * When a node asks again after discovery refused a call. Each node draws its own time within a window that grows with
- * the refusals, so that nodes which were refused together do not come again together. The window's end is counted from
- * the refused call's start: what changed right after that counts as told 6 s later, whatever became of the call.
+ * Computes when a node calls discovery again after a refusal. Each node draws a random time within a window that grows
+ * with each refusal, so that nodes which were refused together do not call again together. The window starts with the
+ * refused call: a change made right after that counts as known to the node 6 s later, whatever became of the call.
  */
 final class BackOff {
-    static final double LEAST_MS = 50; // before any further call
-    /** What a busy discovery takes for a call, as seen in service: the nodes that it refused share out its time. */
-    private static final double TURN_MS = 400;
-    /** From one call to the next, however many nodes there are; 2 s of the 6 s are left for a busy discovery's answer. */
-    static final double MOST_MS = 3_500;
+    /** Shortest delay before any further call. */
+    static final double MIN_DELAY_MS = 50;
+    /**
+     * Time that a busy discovery service takes per call, as seen in service. The nodes that it refused share its
+     * capacity.
+     */
+    private static final double CALL_MS = 400;
+    /**
+     * Longest time from one call to the next for any number of nodes. It leaves 2 s of the 6 s for the response of a
+     * busy discovery service.
+     */
+    static final double MAX_WINDOW_MS = 3_500;
 
     private final SplittableRandom random;
-    private final double firstMs;
+    private final double initialWindowMs;
     private double windowMs;
 
-    /** The waits of one of so many nodes, drawn from its seed. */
+    /**
+     * Creates the back-off of one node.
+     *
+     * @param nodes number of nodes that call the discovery service
+     * @param seed seed of the random times of this node
+     */
     BackOff(int nodes, long seed) {
         random = new SplittableRandom(seed);
-        firstMs = Math.min(MOST_MS, nodes * TURN_MS);
-        windowMs = firstMs;
+        initialWindowMs = Math.min(MAX_WINDOW_MS, nodes * CALL_MS);
+        windowMs = initialWindowMs;
     }
 
-    /** When to call again after a refusal now of the call that went out at a time. */
-    double againMs(double askedMs, double nowMs) {
-        double at = Math.max(nowMs + LEAST_MS, askedMs + windowMs * random.nextDouble());
-        windowMs = Math.min(MOST_MS, 2 * windowMs);
-        return at;
+    /** Returns when to call again, after a refusal at {@code nowMs} of the call that was sent at {@code sentMs}. */
+    double nextCallMs(double sentMs, double nowMs) {
+        double nextMs = Math.max(nowMs + MIN_DELAY_MS, sentMs + windowMs * random.nextDouble());
+        windowMs = Math.min(MAX_WINDOW_MS, 2 * windowMs);
+        return nextMs;
     }
 
-    /** Discovery has answered. */
+    /** Resets the window after a call that was not refused. */
     void reset() {
-        windowMs = firstMs;
+        windowMs = initialWindowMs;
     }
 }
--- a/src/main/java/maplerail/discovery/BlockingQuery.java
+++ b/src/main/java/maplerail/discovery/BlockingQuery.java
@@ -14,93 +14,96 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One of Consul's blocking queries, asked again for good; what it last told stays true while it can't be asked. */
+/** Repeats one of Consul's blocking queries. The last result stays in force while the query fails. */
 final class BlockingQuery {
     private static final Logger LOG = LoggerFactory.getLogger(BlockingQuery.class);
     private static final long WAIT_S = 20;
-    private static final double GRACE_MS = 2_000 + WAIT_S * 1_000 / 16; // Consul adds up to a sixteenth
-    private static final double FIRST_AGAIN_MS = 100;
-    private static final double MOST_AGAIN_MS = 5_000;
+    /** Time past the requested wait; Consul extends the wait by up to a sixteenth. */
+    private static final double WAIT_GRACE_MS = 2_000 + WAIT_S * 1_000 / 16;
+    private static final double INITIAL_RETRY_DELAY_MS = 100;
+    private static final double MAX_RETRY_DELAY_MS = 5_000;
 
     private final ConnectionPool pool;
     private final XnioLoop loop;
-    private InetSocketAddress at;
+    private InetSocketAddress agent;
     private final String path;
-    private final Consumer<JsonValue> news;
+    private final Consumer<JsonValue> onChange;
     private long index;
-    private double againMs = FIRST_AGAIN_MS;
+    private double retryDelayMs = INITIAL_RETRY_DELAY_MS;
 
-    BlockingQuery(ConnectionPool pool, XnioLoop loop, InetSocketAddress at, String path, Consumer<JsonValue> news) {
+    BlockingQuery(ConnectionPool pool, XnioLoop loop, InetSocketAddress agent, String path,
+            Consumer<JsonValue> onChange) {
         this.pool = pool;
         this.loop = loop;
-        this.at = at;
+        this.agent = agent;
         this.path = path;
-        this.news = news;
+        this.onChange = onChange;
     }
 
-    /** Asks another agent from now on, anew: its indexes are its own. */
-    void move(InetSocketAddress to) {
-        at = to;
+    /** Switches to another agent and starts over, as each agent has its own indexes. */
+    void switchAgent(InetSocketAddress newAgent) {
+        agent = newAgent;
         index = 0;
-        againMs = FIRST_AGAIN_MS;
-        ask();
+        retryDelayMs = INITIAL_RETRY_DELAY_MS;
+        poll();
     }
 
-    void ask() {
+    void poll() {
         String target = path + (index == 0 ? "" : "?index=" + index + "&wait=" + WAIT_S + "s");
-        QueryCall asked = new QueryCall();
-        Call call = pool.start(at, Requests.to(at, Methods.GET, target), new byte[0], asked);
-        lookAfter(WAIT_S * 1_000 + GRACE_MS, asked, call);
+        QueryHandler handler = new QueryHandler();
+        Call call = pool.start(agent, Requests.to(agent, Methods.GET, target), new byte[0], handler);
+        checkProgressAfter(WAIT_S * 1_000 + WAIT_GRACE_MS, handler, call);
     }
 
-    private void lookAfter(double afterMs, QueryCall asked, Call call) {
+    private void checkProgressAfter(double afterMs, QueryHandler handler, Call call) {
         loop.schedule(loop.nowMs() + afterMs, () -> {
-            if (asked.expire(call)) lookAfter(GRACE_MS, asked, call);
+            if (handler.abortIfStalled(call)) checkProgressAfter(WAIT_GRACE_MS, handler, call);
         });
     }
 
     /**
-     * The index to ask after next. Going backwards (a restored or new server) starts anew, as a wait for the old
-     * one might never end; one that is missing or not above 0 would make the query a busy loop.
+     * Returns the index for the next query. If the index goes backwards (a restored or new server), the query starts
+     * over, as a wait for the old index might never end. An index that is missing or not above 0 also starts over, as
+     * it would make the query a busy loop.
      */
-    static long next(long last, String told) {
-        long index = told != null && told.matches("[0-9]{1,18}") ? Long.parseLong(told) : 0;
+    static long nextIndex(long last, String received) {
+        long index = received != null && received.matches("[0-9]{1,18}") ? Long.parseLong(received) : 0;
         return index < last ? 0 : index;
     }
 
-    private final class QueryCall extends TextResponseHandler {
-        private final InetSocketAddress asked = at;
+    private final class QueryHandler extends TextResponseHandler {
+        private final InetSocketAddress askedAgent = agent;
 
         @Override
-        protected boolean whole(int status, HeaderMap headers, String text) {
-            if (!asked.equals(at)) return true;
+        protected boolean onResponse(int status, HeaderMap headers, String text) {
+            if (!askedAgent.equals(agent)) return true;
             try {
                 if (status != 200) throw new ConfigException("status " + status);
                 JsonValue answer = JsonValue.parse(path, text);
-                long before = index;
-                index = next(before, headers.getFirst("X-Consul-Index"));
-                // A wait that ended without news repeats the index.
-                if (index == 0 || index != before) news.accept(answer);
+                long previousIndex = index;
+                index = nextIndex(previousIndex, headers.getFirst("X-Consul-Index"));
+                // If the wait ended without a change, the index is the same.
+                if (index == 0 || index != previousIndex) onChange.accept(answer);
             } catch (ConfigException e) {
                 LOG.warn("consul: {}", e.getMessage());
                 index = 0;
                 return false;
             }
-            againMs = FIRST_AGAIN_MS;
-            if (index > 0) ask();
-            else later(FIRST_AGAIN_MS);
+            retryDelayMs = INITIAL_RETRY_DELAY_MS;
+            if (index > 0) poll();
+            else pollLater(INITIAL_RETRY_DELAY_MS);
             return true;
         }
 
         @Override
-        protected void none() {
-            later(againMs);
-            againMs = Math.min(MOST_AGAIN_MS, againMs * 2);
+        protected void onFailure() {
+            pollLater(retryDelayMs);
+            retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2);
         }
 
-        private void later(double afterMs) {
+        private void pollLater(double afterMs) {
             loop.schedule(loop.nowMs() + afterMs, () -> {
-                if (asked.equals(at)) ask(); // else the other address has its own call out
+                if (askedAgent.equals(agent)) poll(); // otherwise a query to the new agent is in flight
             });
         }
     }
--- a/src/main/java/maplerail/discovery/ConsulWatch.java
+++ b/src/main/java/maplerail/discovery/ConsulWatch.java
@@ -17,28 +17,36 @@
 import maplerail.net.ConnectionPool;
 import maplerail.net.XnioLoop;
 
-/** Consul's catalogue says which services there are; its health API says which of their servers may be called. */
+/**
+ * Watches services in Consul: its catalogue lists the services, and its health API lists their servers and which of
+ * them may be called.
+ */
 public final class ConsulWatch {
     private final ConnectionPool pool;
     private final XnioLoop loop;
-    private InetSocketAddress at;
+    private InetSocketAddress agent;
     private final Set<String> wanted;
-    private final BiConsumer<String, EngineList> news;
+    private final BiConsumer<String, EngineList> onList;
     private final Set<String> watched = new HashSet<>();
     private final List<BlockingQuery> queries = new ArrayList<>();
     private long version;
 
-    /** Makes a watch for some services, which tells the whole list of a service each time. */
-    public ConsulWatch(ConnectionPool pool, XnioLoop loop, InetSocketAddress at, Set<String> wanted,
-            BiConsumer<String, EngineList> news) {
+    /**
+     * Creates a watch.
+     *
+     * @param wanted names of the services to watch
+     * @param onList called with the complete list of a service on each change
+     */
+    public ConsulWatch(ConnectionPool pool, XnioLoop loop, InetSocketAddress agent, Set<String> wanted,
+            BiConsumer<String, EngineList> onList) {
         this.pool = pool;
         this.loop = loop;
-        this.at = at;
+        this.agent = agent;
         this.wanted = Set.copyOf(wanted);
-        this.news = news;
+        this.onList = onList;
     }
 
-    /** Watches the catalogue, and each wanted service from when it is first in there. */
+    /** Watches the catalogue, and each wanted service from its first appearance there. */
     public void start() {
         query("/v1/catalog/services", catalogue -> {
             for (String name : catalogue.keys()) {
@@ -47,25 +55,25 @@
         });
     }
 
-    /** Asks another agent from now on; what is known stays known until it answers. */
-    public void switchAgent(InetSocketAddress to) {
-        if (to.equals(at)) return;
-        at = to;
-        queries.forEach(query -> query.move(to));
+    /** Switches to another agent; the known lists stay in force until it responds. */
+    public void switchAgent(InetSocketAddress newAgent) {
+        if (newAgent.equals(agent)) return;
+        agent = newAgent;
+        queries.forEach(query -> query.switchAgent(newAgent));
     }
 
-    private void query(String path, Consumer<JsonValue> told) {
-        BlockingQuery query = new BlockingQuery(pool, loop, at, path, told);
+    private void query(String path, Consumer<JsonValue> onChange) {
+        BlockingQuery query = new BlockingQuery(pool, loop, agent, path, onChange);
         queries.add(query);
-        query.ask();
+        query.poll();
     }
 
     private void watch(String name) {
-        query("/v1/health/service/" + name, answer -> news.accept(name, read(answer, ++version)));
+        query("/v1/health/service/" + name, answer -> onList.accept(name, readServers(answer, ++version)));
     }
 
-    /** The servers in an answer of the health API; one with a critical check gets nothing new. */
-    static EngineList read(JsonValue answer, long version) {
+    /** Reads the servers in a response of the health API; a server with a critical check receives no new requests. */
+    static EngineList readServers(JsonValue answer, long version) {
         List<Router.Member> members = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new HashMap<>();
         for (JsonValue entry : answer.list()) {
--- a/src/main/java/maplerail/discovery/PlatformWatch.java
+++ b/src/main/java/maplerail/discovery/PlatformWatch.java
@@ -17,117 +17,132 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Watches the platform's list: each next call follows the last answer at once, well within 200 ms. */
+/**
+ * Watches the platform's list of engines by long polling. Each call follows the previous response at once, well within
+ * 200 ms.
+ */
 public final class PlatformWatch {
     private static final Logger LOG = LoggerFactory.getLogger(PlatformWatch.class);
     /**
-     * What a call may wait for news. With the grace and the next call's answer it has to stay under the 6 s after
-     * which a change counts as told that a silent call missed.
+     * Longest time that a call waits for a change at the agent. Together with the grace time and the response to the
+     * next call it has to stay under 6 s, after which a change missed by a silent call counts as known to the node.
      */
-    private static final long WAIT_MS = 1_500;
-    /** Past its wait, after which a call is held to be lost; a discovery that is behind answers after 2 s at the latest. */
-    private static final double GRACE_MS = 2_250;
-    /** Without a byte of an answer that has begun late, after which its call is held to be lost as well. */
-    private static final double SILENT_MS = 500;
-    private static final double DOUBT_MS = 2_000; // after a move, in which a list older than ours is not believed
+    private static final long MAX_WAIT_MS = 1_500;
+    /**
+     * Time past the wait after which a call is considered lost; an overloaded discovery service responds after 2 s at
+     * the latest.
+     */
+    private static final double WAIT_GRACE_MS = 2_250;
+    /** Time without a further byte after which the call of a response that began late is considered lost as well. */
+    private static final double MAX_SILENCE_MS = 500;
+    /** Time after a switch of agents in which a list older than the newest known one is rejected. */
+    private static final double REJECT_OLDER_MS = 2_000;
 
     private final ConnectionPool pool;
     private final XnioLoop loop;
-    private InetSocketAddress at;
+    private InetSocketAddress agent;
     private final NameTables names;
-    private final Consumer<EngineList> news;
+    private final Consumer<EngineList> onList;
     private final BackOff backOff;
-    private String trouble = "";
+    private String problem = "";
     private long version = -1;
-    private long newest = -1; // of what was told at any address
-    private boolean unconfirmed; // what is known is of an earlier life: the first call must not wait for news
-    private double doubtUntilMs = Double.NEGATIVE_INFINITY;
+    /** The newest version received from any agent. */
+    private long newestVersion = -1;
+    /** True while the known list is from an earlier run: the first call must not wait for a change. */
+    private boolean unconfirmed;
+    private double rejectOlderUntilMs = Double.NEGATIVE_INFINITY;
 
-    /** Makes a watch that tells each piece of news, for one of so many nodes. */
-    public PlatformWatch(ConnectionPool pool, XnioLoop loop, InetSocketAddress at, NameTables names, int nodes,
+    /**
+     * Creates a watch.
+     *
+     * @param nodes number of nodes that call the discovery service
+     * @param seed seed of the random retry times of this node
+     * @param onList called with each list received
+     */
+    public PlatformWatch(ConnectionPool pool, XnioLoop loop, InetSocketAddress agent, NameTables names, int nodes,
             long seed,
-            Consumer<EngineList> news) {
+            Consumer<EngineList> onList) {
         this.pool = pool;
         this.loop = loop;
-        this.at = at;
+        this.agent = agent;
         this.names = names;
         this.backOff = new BackOff(nodes, seed);
-        this.news = news;
+        this.onList = onList;
     }
 
     /**
-     * Goes on from a list that is known, so that discovery need not send it again; called before the first call. That
-     * call is answered at once where the list has to be confirmed, and waits for news where it need not be.
+     * Continues from a known list, so that discovery need not send it again; must be called before the first poll. If
+     * the list has to be confirmed, the first call requests an immediate response; otherwise it waits for a change.
      */
-    public void resumeFrom(long known, boolean confirm) {
-        version = known;
-        newest = known;
-        unconfirmed = confirm;
+    public void resumeFrom(long knownVersion, boolean mustConfirm) {
+        version = knownVersion;
+        newestVersion = knownVersion;
+        unconfirmed = mustConfirm;
     }
 
-    /** Asks for the whole list, unless one is known, then for changes, for good. */
+    /** Requests the whole list unless one is known, then changes, without end. */
     public void poll() {
         String target = "/api/targets" + (version < 0 ? "" : "?index=" + version + "&wait=" + waitMs());
-        new WatchCall().start(Requests.to(at, Methods.GET, target));
+        new WatchHandler().start(Requests.to(agent, Methods.GET, target));
     }
 
     private long waitMs() {
-        return version < 0 || unconfirmed ? 0 : WAIT_MS;
+        return version < 0 || unconfirmed ? 0 : MAX_WAIT_MS;
     }
 
-    /** Asks at another address from now on. The call that is still out at the old one is heard to its end. */
-    public void switchAgent(InetSocketAddress to) {
-        if (to.equals(at)) return;
-        at = to;
+    /** Switches to another agent. A call that is still in flight to the old one is processed when it ends. */
+    public void switchAgent(InetSocketAddress newAgent) {
+        if (newAgent.equals(agent)) return;
+        agent = newAgent;
         version = -1;
         backOff.reset();
-        doubtUntilMs = loop.nowMs() + DOUBT_MS;
+        rejectOlderUntilMs = loop.nowMs() + REJECT_OLDER_MS;
         poll();
     }
 
-    /** A trouble that lasts is told once, not with each call. */
-    private void tell(String now) {
-        if (!now.equals(trouble)) LOG.warn("discovery: {}", now.isEmpty() ? "answers again" : now);
-        trouble = now;
+    /** Logs a problem when it changes, rather than with each call. */
+    private void logProblem(String current) {
+        if (!current.equals(problem)) LOG.warn("discovery: {}", current.isEmpty() ? "responding again" : current);
+        problem = current;
     }
 
-    private final class WatchCall extends TextResponseHandler {
-        private final InetSocketAddress asked = at;
-        private final double askedMs = loop.nowMs();
+    private final class WatchHandler extends TextResponseHandler {
+        private final InetSocketAddress askedAgent = agent;
+        private final double sentMs = loop.nowMs();
         private boolean refused;
 
         void start(ClientRequest request) {
-            Call call = pool.start(at, request, new byte[0], this);
-            // Guards against an agent that was cut off: its connection would stay open and silent.
-            loop.schedule(loop.nowMs() + waitMs() + GRACE_MS, () -> look(call));
+            Call call = pool.start(agent, request, new byte[0], this);
+            // Guards against an agent that was cut off, whose connection would stay open and silent.
+            loop.schedule(loop.nowMs() + waitMs() + WAIT_GRACE_MS, () -> checkProgress(call));
         }
 
-        private void look(Call call) {
-            if (expire(call)) loop.schedule(loop.nowMs() + SILENT_MS, () -> look(call));
+        private void checkProgress(Call call) {
+            if (abortIfStalled(call)) loop.schedule(loop.nowMs() + MAX_SILENCE_MS, () -> checkProgress(call));
         }
 
         @Override
-        protected boolean whole(int status, HeaderMap headers, String text) {
-            // A call that was turned away takes back nothing that was told: what we have heard so far stays true, and
-            // whole lists asked for in its place by every node would keep an overloaded discovery overloaded.
+        protected boolean onResponse(int status, HeaderMap headers, String text) {
+            // A refused call does not invalidate the known list. If every node requested the whole list instead, an
+            // overloaded discovery service would stay overloaded.
             refused = status == 429 || status == 503;
             if (status != 200) {
-                tell("status " + status + " " + text.strip());
+                logProblem("status " + status + " " + text.strip());
                 return false;
             }
             EngineList list;
             try {
                 list = EngineList.read(JsonValue.parseObject("list", text), names);
             } catch (ConfigException e) {
-                tell(e.getMessage());
-                if (asked.equals(at)) version = -1;
+                logProblem(e.getMessage());
+                if (askedAgent.equals(agent)) version = -1;
                 return false;
             }
-            tell("");
-            // Guards against a new agent that has yet to hear of what ours had told: engines that drain would be
-            // listed as ready once more.
-            boolean older = list.version() < newest && loop.nowMs() < doubtUntilMs;
-            if (asked.equals(at)) {
+            logProblem("");
+            // Guards against a new agent that has not yet received the changes known here: engines that drain would be
+            // listed as ready again.
+            boolean older = list.version() < newestVersion && loop.nowMs() < rejectOlderUntilMs;
+            if (askedAgent.equals(agent)) {
                 if (older) return false;
                 version = list.version();
                 unconfirmed = false;
@@ -135,17 +150,17 @@
                 poll();
             }
             if (older) return true;
-            newest = list.version();
-            news.accept(list);
+            newestVersion = list.version();
+            onList.accept(list);
             return true;
         }
 
         @Override
-        protected void none() {
-            if (!asked.equals(at)) return; // the other address has its own call out
+        protected void onFailure() {
+            if (!askedAgent.equals(agent)) return; // a call to the new agent is in flight
             double now = loop.nowMs();
-            loop.schedule(refused ? backOff.againMs(askedMs, now) : now + BackOff.LEAST_MS, () -> {
-                if (asked.equals(at)) poll();
+            loop.schedule(refused ? backOff.nextCallMs(sentMs, now) : now + BackOff.MIN_DELAY_MS, () -> {
+                if (askedAgent.equals(agent)) poll();
             });
         }
     }
--- a/src/main/java/maplerail/discovery/package-info.java
+++ b/src/main/java/maplerail/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** Where the list of engines or tool servers comes from, and how it is kept current. */
+/** Discovery of engines and tool servers, and the watches that keep their lists current. */
 package maplerail.discovery;
--- a/src/main/java/maplerail/net/Call.java
+++ b/src/main/java/maplerail/net/Call.java
@@ -13,59 +13,69 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One request on one connection. It is written once and never again, whatever happens to the connection. */
+/** One request on one connection. The request is written at most once, whatever happens to the connection. */
 public final class Call {
     private static final Logger LOG = LoggerFactory.getLogger(Call.class);
-    /** After the last byte of a head that is not whole: a system sends a lost packet again after 200 ms or more. */
-    private static final double HEAD_SILENCE_MS = 400;
+    /**
+     * Longest silence after the last byte of an incomplete head. The operating system retransmits a lost packet after
+     * 200 ms or more.
+     */
+    private static final double MAX_HEAD_SILENCE_MS = 400;
 
     private final ConnectionPool pool;
-    private final Supplier<ClientRequest> request;
+    private final Supplier<ClientRequest> requestSupplier;
     private final byte[] body;
-    private final BooleanSupplier mayBegin;
-    private final ResponseHandler reply;
-    private final ResponseParser reader;
+    private final BooleanSupplier mayStart;
+    private final ResponseHandler handler;
+    private final ResponseParser parser;
     private final boolean urgent;
-    /** Head and body; null until there is a connection to write them to. */
-    private ByteBuffer bytes;
-    private PooledConnection link;
-    private Runnable disconnect;
-    private Loop.ScheduledTask limit;
-    private boolean needsNewConnection;
-    private boolean waited;
+    /** Head and body of the request; null until there is a connection to write them to. */
+    private ByteBuffer outgoing;
+    private PooledConnection connection;
+    private Runnable cancelConnect;
+    private Loop.ScheduledTask timeout;
+    private boolean requiresNewConnection;
+    private boolean delayed;
     private boolean reused;
-    private boolean faultedHere;
-    private double connectUntilMs;
+    private boolean localFault;
+    private double connectDeadlineMs;
     private final double startMs;
     private double connectedMs;
     private long receivedBytes;
-    private double receivedMs;
-    private boolean wrote;
+    private double lastReceivedMs;
+    private boolean anyWritten;
     private boolean paused;
     private boolean reading;
-    private boolean failing;
+    private boolean failurePending;
     private boolean done;
 
-    /** Makes a call whose head is asked for when it is about to be written: what it tells of time must hold then. */
-    Call(ConnectionPool pool, Supplier<ClientRequest> request, byte[] body, BooleanSupplier mayBegin,
-            ResponseHandler reply,
-            boolean urgent) {
+    /**
+     * Creates a call. Its head is requested right before it is written, so that times in it are current.
+     *
+     * @param mayStart asked right before the first byte is written if the call did not start at once; false aborts the
+     * call
+     * @param urgent whether the call goes before others in the queue
+     */
+    Call(ConnectionPool pool, Supplier<ClientRequest> requestSupplier, byte[] body, BooleanSupplier mayStart,
+            ResponseHandler handler, boolean urgent) {
         this.pool = pool;
-        this.request = request;
+        this.requestSupplier = requestSupplier;
         this.body = body;
-        this.mayBegin = mayBegin;
-        this.reply = reply;
-        this.reader = new ResponseParser(reply);
+        this.mayStart = mayStart;
+        this.handler = handler;
+        this.parser = new ResponseParser(handler);
         this.urgent = urgent;
         this.startMs = pool.loop().nowMs();
     }
 
-    /** True if it goes before others, as it carries no client's request but keeps a rule. */
+    /**
+     * Returns true if the call goes before others: it carries no client's request, but a protocol rule depends on it.
+     */
     boolean urgent() {
         return urgent;
     }
 
-    private static ByteBuffer bytes(ClientRequest request, byte[] body) {
+    private static ByteBuffer encode(ClientRequest request, byte[] body) {
         StringBuilder head = new StringBuilder(512).append(request.getMethod()).append(' ').append(request.getPath())
                 .append(" HTTP/1.1\r\n");
         for (HeaderValues values : request.getRequestHeaders()) {
@@ -73,157 +83,171 @@
                 head.append(values.getHeaderName()).append(": ").append(value).append("\r\n");
             }
         }
-        byte[] first = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-        return ByteBuffer.allocate(first.length + body.length).put(first).put(body).flip();
+        byte[] headBytes = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
+        return ByteBuffer.allocate(headBytes.length + body.length).put(headBytes).put(body).flip();
     }
 
-    /** True if the head of a successful answer has come. */
+    /** Returns true if the head of a successful response has been received. */
     public boolean answerBegun() {
-        return reader.headWhole() && reader.status() == StatusCodes.OK;
+        return parser.headComplete() && parser.status() == StatusCodes.OK;
     }
 
-    /** When the last bytes of its answer came; 0 before any. */
-    double receivedMs() {
-        return receivedMs;
+    /** Returns when the last bytes of the response were received, or 0 before any. */
+    double lastReceivedMs() {
+        return lastReceivedMs;
     }
 
-    /** How far it has come, for the log: what was written, on which connection, and what has come back. */
+    /**
+     * Describes the progress for the log: what was written, on which kind of connection, and what has been received.
+     */
     public String trace() {
-        String written = bytes == null ? "not written" : "written " + bytes.position() + " of " + bytes.limit();
-        if (link == null && bytes == null) return written + ", waits for a connection";
-        String came = reused ? " on a kept connection" : " on a new connection";
-        String answer = receivedBytes == 0 ? ""
-                : ", " + receivedBytes + " bytes, last " + Math.round(pool.loop().nowMs() - receivedMs) + " ms ago"
+        String progress = outgoing == null ? "not written"
+                : "written " + outgoing.position() + " of " + outgoing.limit() + " bytes";
+        if (connection == null && outgoing == null) return progress + ", waiting for a connection";
+        String connectionInfo = reused ? " on a kept connection" : " on a new connection";
+        String response = receivedBytes == 0 ? ""
+                : ", " + receivedBytes + " bytes, last " + Math.round(pool.loop().nowMs() - lastReceivedMs) + " ms ago"
                         + (paused ? ", paused" : "");
-        return written + came + " after " + Math.round(connectedMs - startMs) + " ms, status " + reader.status()
-                + answer;
+        return progress + connectionInfo + " after " + Math.round(connectedMs - startMs) + " ms, status "
+                + parser.status() + response;
     }
 
-    /** True while nothing has been written. */
+    /** Returns true while nothing has been written. */
     public boolean unsent() {
-        return !wrote && !done;
+        return !anyWritten && !done;
     }
 
-    /** Gives the call up; the reply hears nothing more. */
+    /** Aborts the call; the handler is not notified any more. */
     public void abort() {
         if (done) return;
-        reader.stop();
+        parser.discardRest();
         finish();
     }
 
-    /** Stops reading the answer, so that its sender has to wait. */
+    /** Stops reading the response, so that its sender is held back by flow control. */
     public void pause() {
         if (done || paused) return;
         paused = true;
-        calm();
-        if (link != null) link.connection.getSourceChannel().suspendReads();
+        cancelTimeout();
+        if (connection != null) connection.stream.getSourceChannel().suspendReads();
     }
 
-    /** Reads on. */
+    /** Resumes reading the response. */
     public void resume() {
         if (!paused) return;
         paused = false;
         pool.loop().execute(this::read);
     }
 
-    /** While it has no connection: when to give up waiting for one, and how. */
-    void connecting(Loop.ScheduledTask alarm, Runnable cancel) {
-        calm();
-        waited = true;
-        limit = alarm;
-        disconnect = cancel;
+    /**
+     * Called while the call has no connection, with the timer that ends the wait for one and the action that cancels
+     * the connection attempt.
+     */
+    void awaitConnection(Loop.ScheduledTask timer, Runnable cancel) {
+        cancelTimeout();
+        delayed = true;
+        timeout = timer;
+        cancelConnect = cancel;
     }
 
-    /** It does not begin at once, and so asks before its first byte whether it may still. */
-    void hasToAsk() {
-        waited = true;
+    /**
+     * Marks that the call does not start at once, so that it asks right before its first byte whether it may still
+     * start.
+     */
+    void markDelayed() {
+        delayed = true;
     }
 
-    /** Until when its connection has to come up: as told, but a further try does not put it off. */
-    double connectUntilMs(double atMost) {
-        if (!faultedHere) connectUntilMs = atMost;
-        return connectUntilMs;
+    /**
+     * Returns the deadline for establishing the connection: the proposed one, unless a local fault has occurred. A
+     * further try after such a fault does not extend the deadline.
+     */
+    double connectDeadlineMs(double proposedMs) {
+        if (!localFault) connectDeadlineMs = proposedMs;
+        return connectDeadlineMs;
     }
 
-    /** A fault of this machine kept it from connecting; it is to be tried again. */
-    void faultedHere() {
-        faultedHere = true;
+    /** Records that a fault of this machine prevented the connection; the call is tried again. */
+    void markLocalFault() {
+        localFault = true;
     }
 
-    /** No kept connection is to be used for it. */
-    void needsNewConnection() {
-        needsNewConnection = true;
+    /** Excludes idle connections from being used for this call. */
+    void requireNewConnection() {
+        requiresNewConnection = true;
     }
 
-    boolean wantsNewConnection() {
-        return needsNewConnection;
+    boolean requiresNewConnection() {
+        return requiresNewConnection;
     }
 
     boolean done() {
         return done;
     }
 
-    void on(PooledConnection to) {
-        calm();
-        disconnect = null;
-        if (waited && !mayBegin.getAsBoolean()) {
+    void attach(PooledConnection newConnection) {
+        cancelTimeout();
+        cancelConnect = null;
+        if (delayed && !mayStart.getAsBoolean()) {
             abort();
-            pool.keep(to);
+            pool.putIdle(newConnection);
             return;
         }
-        link = to;
+        connection = newConnection;
         connectedMs = pool.loop().nowMs();
-        reused = to.idleSinceMs > 0;
-        bytes = bytes(request.get(), body);
-        link.connection.getSourceChannel().setReadListener(c -> read());
-        link.connection.getSinkChannel().setWriteListener(c -> write());
-        link.connection.getSourceChannel().resumeReads();
+        reused = newConnection.idleSinceMs > 0;
+        outgoing = encode(requestSupplier.get(), body);
+        connection.stream.getSourceChannel().setReadListener(c -> read());
+        connection.stream.getSinkChannel().setWriteListener(c -> write());
+        connection.stream.getSourceChannel().resumeReads();
         write();
     }
 
     private void write() {
-        if (done || failing) return;
+        if (done || failurePending) return;
         try {
-            while (bytes.hasRemaining()) {
-                if (link.connection.getSinkChannel().write(bytes) == 0) {
-                    link.connection.getSinkChannel().resumeWrites();
+            while (outgoing.hasRemaining()) {
+                if (connection.stream.getSinkChannel().write(outgoing) == 0) {
+                    connection.stream.getSinkChannel().resumeWrites();
                     return;
                 }
-                wrote = true;
+                anyWritten = true;
             }
-            link.connection.getSinkChannel().suspendWrites();
+            connection.stream.getSinkChannel().suspendWrites();
         } catch (IOException e) {
             fail();
         }
     }
 
     private void read() {
-        if (done || failing || paused || link == null || reading) return;
+        if (done || failurePending || paused || connection == null || reading) return;
         reading = true;
         try (PooledByteBuffer pooled = pool.buffers().allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
             while (!done && !paused) {
                 buffer.clear();
-                int count = link.connection.getSourceChannel().read(buffer);
+                int count = connection.stream.getSourceChannel().read(buffer);
                 if (count == 0) {
-                    link.connection.getSourceChannel().resumeReads();
+                    connection.stream.getSourceChannel().resumeReads();
                     watchHead();
                     return;
                 }
                 if (count > 0) {
                     receivedBytes += count;
-                    receivedMs = pool.loop().nowMs();
-                    reader.feed(buffer.flip());
+                    lastReceivedMs = pool.loop().nowMs();
+                    parser.feed(buffer.flip());
                 }
                 if (done) return;
-                if (count < 0 && !reader.ended()) throw new IOException("the connection ended within the answer");
-                if (reader.done()) end(count > 0 && !buffer.hasRemaining());
+                if (count < 0 && !parser.endOfInput())
+                    throw new IOException("connection closed before the response was complete");
+                if (parser.done()) complete(count > 0 && !buffer.hasRemaining());
             }
         } catch (IOException e) {
-            LOG.debug("an answer broke off or cannot be read", e);
+            LOG.debug("response is incomplete or malformed", e);
             fail();
         } catch (RuntimeException e) {
-            LOG.warn("an answer could not be passed on", e); // a fault of ours: it costs this call and must be seen
+            // A bug in this program: it ends this call and must be visible.
+            LOG.warn("response could not be delivered", e);
             fail();
         } finally {
             reading = false;
@@ -231,62 +255,71 @@
     }
 
     /**
-     * Guards against a head that stops in its middle: neither its sender nor it says so. However slowly its bytes come, it
-     * has not stopped; and what follows the head is watched by who waits for it.
+     * Guards against a head that stops in the middle, which nothing else reports. A head whose bytes keep arriving,
+     * however slowly, has not stopped. What follows the head is supervised by the caller.
      */
     private void watchHead() {
-        calm();
-        if (!reader.inHead()) return;
-        // What has come by then is read first.
+        cancelTimeout();
+        if (!parser.inHead()) return;
+        // Input received by then is read first.
         XnioLoop loop = pool.loop();
-        limit = loop.schedule(receivedMs + HEAD_SILENCE_MS, () -> limit = loop.runAfterInput(this::fail));
+        timeout = loop.schedule(lastReceivedMs + MAX_HEAD_SILENCE_MS, () -> timeout = loop.runAfterInput(this::fail));
     }
 
-    private void calm() {
-        if (limit != null) limit.cancel();
-        limit = null;
+    private void cancelTimeout() {
+        if (timeout != null) timeout.cancel();
+        timeout = null;
     }
 
-    /** The answer is whole; a connection on which more came, or not all was written, is of no further use. */
-    private void end(boolean clean) {
-        PooledConnection used = link;
-        boolean again = clean && reader.keepAlive() && written();
-        if (again) link = null;
+    /**
+     * Completes the response. A connection is not reused if it carried more bytes than the response, or if the request
+     * was not written in full.
+     *
+     * @param noSurplus whether the last read ended with the response
+     */
+    private void complete(boolean noSurplus) {
+        PooledConnection used = connection;
+        boolean reusable = noSurplus && parser.keepAlive() && fullyWritten();
+        if (reusable) connection = null;
         finish();
-        if (again) pool.keep(used);
-        reply.end();
+        if (reusable) pool.putIdle(used);
+        handler.end();
     }
 
-    /** It has waited for a connection for as long as it may. */
-    void failUnconnected() {
-        if (link == null) fail();
+    /** Fails the call if it still has no connection at its connection timeout. */
+    void failIfUnconnected() {
+        if (connection == null) fail();
     }
 
-    /** Never heard before the call has been handed out. */
+    /**
+     * Fails the call asynchronously, so that the handler is never notified before the call has been returned to its
+     * caller.
+     */
     void fail() {
-        if (done || failing) return;
-        failing = true;
+        if (done || failurePending) return;
+        failurePending = true;
         pool.loop().execute(() -> {
             if (done) return;
             finish();
-            reply.failed(failure());
+            handler.failed(failure());
         });
     }
 
     private ResponseHandler.Failure failure() {
-        if (written()) return ResponseHandler.Failure.BROKEN;
-        return faultedHere && bytes == null ? ResponseHandler.Failure.LOCAL_FAULT : ResponseHandler.Failure.NEVER_SENT;
+        if (fullyWritten()) return ResponseHandler.Failure.BROKEN;
+        return localFault && outgoing == null ? ResponseHandler.Failure.LOCAL_FAULT
+                : ResponseHandler.Failure.NEVER_SENT;
     }
 
-    /** True once the last byte has been written. */
-    private boolean written() {
-        return bytes != null && !bytes.hasRemaining();
+    /** Returns true once the last byte of the request has been written. */
+    private boolean fullyWritten() {
+        return outgoing != null && !outgoing.hasRemaining();
     }
 
     private void finish() {
         done = true;
-        calm();
-        if (disconnect != null) disconnect.run();
-        if (link != null) link.abort();
+        cancelTimeout();
+        if (cancelConnect != null) cancelConnect.run();
+        if (connection != null) connection.abort();
     }
 }
--- a/src/main/java/maplerail/net/CallHandle.java
+++ b/src/main/java/maplerail/net/CallHandle.java
@@ -2,7 +2,7 @@
 
 import maplerail.core.EngineTransport;
 
-/** A {@link Call} as the core sees it. */
+/** Adapts a {@link Call} to the interface of the core. */
 record CallHandle(Call call) implements EngineTransport.AttemptHandle {
     @Override
     public String trace() {
--- a/src/main/java/maplerail/net/ConnectFault.java
+++ b/src/main/java/maplerail/net/ConnectFault.java
@@ -4,14 +4,15 @@
 import java.net.BindException;
 import java.net.SocketException;
 
-/** What a connection that could not be opened says, and of whom. */
+/** Classifies the errors of connections that could not be established. */
 final class ConnectFault {
     private ConnectFault() {}
 
     /**
-     * True if this machine had no descriptor, buffer, port or route: EMFILE, ENFILE, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH.
-     * The standard library has classes of their own for refused, timed out and no route to a host; all else comes as a
-     * plain {@link SocketException}, of which only a reset is the far side's doing.
+     * Returns true if the cause is this machine, which had no descriptor, buffer, port or route: EMFILE, ENFILE,
+     * ENOBUFS, EADDRNOTAVAIL or ENETUNREACH. The standard library has separate classes for refused, timed out and no
+     * route to host. Everything else is reported as a plain {@link SocketException}, of which only a reset is caused by
+     * the far side.
      */
     static boolean isLocal(IOException error) {
         if (error instanceof BindException) return true;
--- a/src/main/java/maplerail/net/ConnectionPool.java
+++ b/src/main/java/maplerail/net/ConnectionPool.java
@@ -22,260 +22,293 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** Connections to engines and other servers, kept while they are fresh. Nothing here sends anything twice. */
+/** Keeps connections to engines and other servers for reuse. The pool never sends a request twice. */
 public final class ConnectionPool {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionPool.class);
-    private static final double RETIRE_SHARE = 0.5; // of the time after which the far side closes
-    private static final double SETTLE_MS = 30; // after an answer, in which what else belongs to it would come
-    private static final int MAX_CONNECTING = 24; // to one address: one that never answers must not take all
-    private static final int RESERVED = 8; // connections over the limit, for calls that carry no client's request
-    private static final double SWEEP_MS = 1_000;
-    private static final double FAULT_PAUSE_MS = 20; // between two tries while this machine cannot connect
-    private static final double FAULT_LOG_MS = 1_000;
-    /** For which what has come may lie unread when an attempt is begun; with the grace of a drain it has to be short. */
-    private static final double UNREAD_MS = 75;
-    private static final OptionMap OPTIONS = OptionMap.builder().set(Options.TCP_NODELAY, true).getMap();
+    /** Share of the far side's idle timeout for which a connection is kept. */
+    private static final double IDLE_LIFETIME_SHARE = 0.5;
+    /** Idle time before a connection is reused, in which surplus bytes of the last response would arrive. */
+    private static final double SETTLE_MS = 30;
+    /** Limit on connections being established to one address; one that never responds must not take all of them. */
+    private static final int MAX_CONNECTING = 24;
+    /** Connections above the limit, for calls that carry no client's request. */
+    private static final int RESERVED_CONNECTIONS = 8;
+    private static final double SWEEP_INTERVAL_MS = 1_000;
+    /** Pause between two connection attempts while this machine cannot connect. */
+    private static final double LOCAL_FAULT_PAUSE_MS = 20;
+    private static final double LOCAL_FAULT_LOG_INTERVAL_MS = 1_000;
+    /**
+     * Longest time for which received input may have been unread when an attempt starts. Together with the drain grace
+     * period it has to be short.
+     */
+    private static final double MAX_UNREAD_MS = 75;
+    private static final OptionMap SOCKET_OPTIONS = OptionMap.builder().set(Options.TCP_NODELAY, true).getMap();
 
     private final XnioLoop loop;
     private final ByteBufferPool buffers;
-    private final double retireMs;
-    private final double connectMs;
-    private final int most;
-    private final Map<InetSocketAddress, ArrayDeque<PooledConnection>> idle = new HashMap<>();
+    private final double maxIdleMs;
+    private final double connectTimeoutMs;
+    private final int maxConnections;
+    private final Map<InetSocketAddress, ArrayDeque<PooledConnection>> idleByAddress = new HashMap<>();
     private final Map<InetSocketAddress, Integer> connecting = new HashMap<>();
-    private final Map<InetSocketAddress, ArrayDeque<Call>> queued = new HashMap<>();
-    private final Set<PooledConnection> links = new HashSet<>();
-    private int connectingInAll;
+    private final Map<InetSocketAddress, ArrayDeque<Call>> queuedByAddress = new HashMap<>();
+    private final Set<PooledConnection> connections = new HashSet<>();
+    private int totalConnecting;
     private boolean sweeping;
-    private double faultPauseUntilMs = Double.NEGATIVE_INFINITY;
-    private double faultToldMs = Double.NEGATIVE_INFINITY;
+    private double localFaultPauseUntilMs = Double.NEGATIVE_INFINITY;
+    private double lastFaultLogMs = Double.NEGATIVE_INFINITY;
     private Connector connector;
 
-    /** Opens a connection; the default is that of the loop's thread. */
+    /** Opens connections; by default they are opened on the thread of the loop. */
     interface Connector {
-        IoFuture<StreamConnection> connect(InetSocketAddress to);
+        IoFuture<StreamConnection> connect(InetSocketAddress address);
     }
 
     /**
-     * Makes a pool of at most so many connections, and some reserved ones, which the far side closes after being idle
-     * for some time.
+     * Creates a pool.
+     *
+     * @param connIdleMs idle time after which the far side closes a connection
+     * @param connectTimeoutMs longest time that a call waits for its connection
+     * @param maxConnections limit on open connections, above which some are reserved for urgent calls
      */
-    public ConnectionPool(XnioLoop loop, ByteBufferPool buffers, double connIdleMs, double connectTimeoutMs, int most) {
+    public ConnectionPool(XnioLoop loop, ByteBufferPool buffers, double connIdleMs, double connectTimeoutMs,
+            int maxConnections) {
         this.loop = loop;
         this.buffers = buffers;
-        this.retireMs = connIdleMs * RETIRE_SHARE;
-        this.connectMs = connectTimeoutMs;
-        this.most = most;
-        this.connector = to -> loop.thread().openStreamConnection(to, null, OPTIONS);
+        this.maxIdleMs = connIdleMs * IDLE_LIFETIME_SHARE;
+        this.connectTimeoutMs = connectTimeoutMs;
+        this.maxConnections = maxConnections;
+        this.connector = address -> loop.thread().openStreamConnection(address, null, SOCKET_OPTIONS);
     }
 
-    /** Opens connections in another way from now on, as tests do that make it fail. */
-    void connectBy(Connector other) {
-        connector = other;
+    /** Replaces the way in which connections are opened, for tests that make it fail. */
+    void setConnector(Connector connector) {
+        this.connector = connector;
     }
 
-    /** Starts a request; the reply hears of it after this call has returned. */
-    public Call start(InetSocketAddress to, ClientRequest request, byte[] body, ResponseHandler reply) {
+    /** Starts a request. The handler is notified only after this method has returned. */
+    public Call start(InetSocketAddress address, ClientRequest request, byte[] body, ResponseHandler handler) {
         boolean urgent = !request.getMethod().equals(Methods.POST);
-        return start(to, new Call(this, () -> request, body, () -> true, reply, urgent));
+        return start(address, new Call(this, () -> request, body, () -> true, handler, urgent));
     }
 
-    /** The same on a connection of its own, where kept ones may have fallen silent. */
-    Call startOnNewConnection(InetSocketAddress to, ClientRequest request, byte[] body, ResponseHandler reply) {
-        Call call = new Call(this, () -> request, body, () -> true, reply, true);
-        call.needsNewConnection();
-        return start(to, call);
+    /** Starts a request on a new connection, for use when the idle ones may have stopped responding. */
+    Call startOnNewConnection(InetSocketAddress address, ClientRequest request, byte[] body, ResponseHandler handler) {
+        Call call = new Call(this, () -> request, body, () -> true, handler, true);
+        call.requireNewConnection();
+        return start(address, call);
     }
 
     /**
-     * Starts a request whose head is made only once there is a connection for it. If it has to wait for one, it asks
-     * before its first byte whether it may still begin; who says no gives the call up.
+     * Starts a request whose head is built only once there is a connection for it. If the call has to wait for one,
+     * {@code mayStart} is asked right before the first byte is written; false aborts the call.
      */
-    public Call start(InetSocketAddress to, Supplier<ClientRequest> request, byte[] body, BooleanSupplier mayBegin,
-            ResponseHandler reply) {
-        return start(to, new Call(this, request, body, mayBegin, reply, false));
+    public Call start(InetSocketAddress address, Supplier<ClientRequest> request, byte[] body, BooleanSupplier mayStart,
+            ResponseHandler handler) {
+        return start(address, new Call(this, request, body, mayStart, handler, false));
     }
 
-    private Call start(InetSocketAddress to, Call call) {
-        if (call.urgent() || loop.nowMs() - loop.inputArrivedAfterMs() < UNREAD_MS) beginOrQueue(to, call);
-        else beginAfterInput(to, call);
+    private Call start(InetSocketAddress address, Call call) {
+        if (call.urgent() || loop.nowMs() - loop.inputArrivedAfterMs() < MAX_UNREAD_MS) startOrQueue(address, call);
+        else startAfterInput(address, call);
         return call;
     }
 
     /**
-     * Guards against a loop that is behind: news that this engine drains, or the close of the client, may have come and
-     * lie unread.
+     * Guards against a loop that has fallen behind: a notice that this engine drains, or the client's disconnect, may
+     * have arrived and not been read yet.
      */
-    private void beginAfterInput(InetSocketAddress to, Call call) {
-        call.hasToAsk();
+    private void startAfterInput(InetSocketAddress address, Call call) {
+        call.markDelayed();
         loop.runAfterInput(() -> {
-            if (!call.done()) beginOrQueue(to, call);
+            if (!call.done()) startOrQueue(address, call);
         });
     }
 
-    private void beginOrQueue(InetSocketAddress to, Call call) {
-        if (!begin(to, call)) {
-            ArrayDeque<Call> waiting = queued.computeIfAbsent(to, t -> new ArrayDeque<>());
-            // Guards against a release that waits behind a crowd of reads until what it lets go counts as pinned.
-            if (call.urgent()) waiting.addFirst(call);
-            else waiting.addLast(call);
-            call.connecting(loop.schedule(call.connectUntilMs(loop.nowMs() + connectMs), () -> later(call)), () -> {});
-            if (faultPause()) call.faultedHere();
+    private void startOrQueue(InetSocketAddress address, Call call) {
+        if (!tryStart(address, call)) {
+            ArrayDeque<Call> queue = queuedByAddress.computeIfAbsent(address, t -> new ArrayDeque<>());
+            // Guards against a release that waits behind a burst of reads until the state that it frees exceeds its pin
+            // limit.
+            if (call.urgent()) queue.addFirst(call);
+            else queue.addLast(call);
+            call.awaitConnection(
+                    loop.schedule(call.connectDeadlineMs(loop.nowMs() + connectTimeoutMs), () -> failAfterInput(call)),
+                    () -> {});
+            if (inLocalFaultPause()) call.markLocalFault();
         }
     }
 
-    private boolean begin(InetSocketAddress to, Call call) {
-        PooledConnection ready = call.wantsNewConnection() ? null : fresh(to);
-        if (ready != null) {
-            call.on(ready);
-        } else if (faultPause() || connecting.getOrDefault(to, 0) >= MAX_CONNECTING || !room(call)) {
+    private boolean tryStart(InetSocketAddress address, Call call) {
+        PooledConnection available = call.requiresNewConnection() ? null : takeIdle(address);
+        if (available != null) {
+            call.attach(available);
+        } else if (inLocalFaultPause() || connecting.getOrDefault(address, 0) >= MAX_CONNECTING || !makeRoom(call)) {
             return false;
         } else {
-            connect(to, call);
+            connect(address, call);
         }
         return true;
     }
 
     /**
-     * Guards against a crowd that comes at once, as after a restart: told at once that it cannot connect, each of
-     * its requests would use up its attempts on engines that only wait for their connections to come up.
+     * Starts queued calls to an address. Guards against a burst of requests, as after a restart: if calls failed at
+     * once for lack of a connection, each request would use up its attempts on engines whose connections are still
+     * being established.
      */
-    private void next(InetSocketAddress to) {
-        ArrayDeque<Call> waiting = queued.get(to);
-        if (waiting == null) return;
-        waiting.removeIf(Call::done);
-        // Taken out first: what begins may end other calls, whose releases then come to the front of this queue.
-        for (Call first = waiting.pollFirst(); first != null; first = waiting.pollFirst()) {
-            if (first.done() || begin(to, first)) continue;
-            waiting.addFirst(first);
+    private void startQueued(InetSocketAddress address) {
+        ArrayDeque<Call> queue = queuedByAddress.get(address);
+        if (queue == null) return;
+        queue.removeIf(Call::done);
+        // Calls are removed before they start: a call that starts may end other calls, whose releases are then put at
+        // the front of this queue.
+        for (Call call = queue.pollFirst(); call != null; call = queue.pollFirst()) {
+            if (call.done() || tryStart(address, call)) continue;
+            queue.addFirst(call);
             return;
         }
-        queued.remove(to, waiting);
+        queuedByAddress.remove(address, queue);
     }
 
-    /** Guards against a loop that is behind: what has come up by now is seen first. */
-    private void later(Call call) {
-        loop.runAfterInput(call::failUnconnected);
+    /**
+     * Fails a call that still has no connection. Guards against a loop that has fallen behind: connections that have
+     * been established by now are handled first.
+     */
+    private void failAfterInput(Call call) {
+        loop.runAfterInput(call::failIfUnconnected);
     }
 
-    /** The last one used that has been quiet since; a second answer right behind the first must not meet a request. */
-    private PooledConnection fresh(InetSocketAddress to) {
-        ArrayDeque<PooledConnection> kept = idle.get(to);
-        if (kept == null) return null;
-        for (Iterator<PooledConnection> last = kept.descendingIterator(); last.hasNext();) {
-            PooledConnection link = last.next();
-            double age = loop.nowMs() - link.idleSinceMs;
-            if (age < SETTLE_MS && link.open()) continue;
-            last.remove();
-            if (age < retireMs && link.quiet()) return link;
-            link.close();
+    /**
+     * Returns the most recently used idle connection that has been quiet since, or null. Guards against a surplus
+     * response right after the previous one, which would be taken for the response to the next request.
+     */
+    private PooledConnection takeIdle(InetSocketAddress address) {
+        ArrayDeque<PooledConnection> idleConnections = idleByAddress.get(address);
+        if (idleConnections == null) return null;
+        for (Iterator<PooledConnection> fromNewest = idleConnections.descendingIterator(); fromNewest.hasNext();) {
+            PooledConnection connection = fromNewest.next();
+            double idleForMs = loop.nowMs() - connection.idleSinceMs;
+            if (idleForMs < SETTLE_MS && connection.isOpen()) continue;
+            fromNewest.remove();
+            if (idleForMs < maxIdleMs && connection.checkQuiet()) return connection;
+            connection.close();
         }
         return null;
     }
 
     /**
-     * Guards against more connections than the descriptors allow: the one idle for the longest makes room. A watch or
-     * a release gets one beyond that, as attempts at engines that hang may hold all the others.
+     * Returns true if a connection may be opened, closing the one that has been idle longest if necessary. Guards
+     * against more connections than the descriptor limit allows. A watch or a release may exceed the limit, as attempts
+     * at engines that hang may hold all other connections.
      */
-    private boolean room(Call call) {
-        if (links.size() + connectingInAll < most + (call.urgent() ? RESERVED : 0)) return true;
-        ArrayDeque<PooledConnection> oldest = idle.values().stream().filter(kept -> !kept.isEmpty())
-                .min(Comparator.comparingDouble(kept -> kept.peekFirst().idleSinceMs)).orElse(null);
-        if (oldest == null) return false;
-        oldest.pollFirst().close();
+    private boolean makeRoom(Call call) {
+        if (connections.size() + totalConnecting < maxConnections + (call.urgent() ? RESERVED_CONNECTIONS : 0))
+            return true;
+        ArrayDeque<PooledConnection> longestIdle = idleByAddress.values().stream()
+                .filter(idleConnections -> !idleConnections.isEmpty())
+                .min(Comparator.comparingDouble(idleConnections -> idleConnections.peekFirst().idleSinceMs))
+                .orElse(null);
+        if (longestIdle == null) return false;
+        longestIdle.pollFirst().close();
         return true;
     }
 
-    private void connect(InetSocketAddress to, Call call) {
-        connecting.merge(to, 1, Integer::sum);
-        connectingInAll++;
-        IoFuture<StreamConnection> coming = connector.connect(to);
-        // Called off, it is closed: one that never comes up would hold a descriptor for minutes.
-        call.connecting(loop.schedule(call.connectUntilMs(loop.nowMs() + connectMs), () -> later(call)),
-                coming::cancel);
-        coming.addNotifier((future, none) -> loop.execute(() -> connected(to, call, future)), null);
+    private void connect(InetSocketAddress address, Call call) {
+        connecting.merge(address, 1, Integer::sum);
+        totalConnecting++;
+        IoFuture<StreamConnection> pendingConnection = connector.connect(address);
+        // Cancelling closes the connection: one that is never established would hold a descriptor for minutes.
+        call.awaitConnection(
+                loop.schedule(call.connectDeadlineMs(loop.nowMs() + connectTimeoutMs), () -> failAfterInput(call)),
+                pendingConnection::cancel);
+        pendingConnection.addNotifier((future, attachment) -> loop.execute(() -> onConnected(address, call, future)),
+                null);
     }
 
-    private void connected(InetSocketAddress to, Call call, IoFuture<? extends StreamConnection> future) {
-        connecting.computeIfPresent(to, (address, count) -> count > 1 ? count - 1 : null);
-        connectingInAll--;
-        StreamConnection connection;
+    private void onConnected(InetSocketAddress address, Call call, IoFuture<? extends StreamConnection> future) {
+        connecting.computeIfPresent(address, (key, count) -> count > 1 ? count - 1 : null);
+        totalConnecting--;
+        StreamConnection stream;
         try {
-            connection = future.get();
+            stream = future.get();
         } catch (IOException e) {
-            if (ConnectFault.isLocal(e) && !call.done()) connectAgain(to, call, e);
-            else call.fail(); // refused
-            next(to);
+            if (ConnectFault.isLocal(e) && !call.done()) retryConnect(address, call, e);
+            else call.fail(); // the far side refused the connection
+            startQueued(address);
             return;
         } catch (RuntimeException e) {
-            call.fail(); // called off: then it is done already
-            next(to);
+            call.fail(); // cancelled, so the call is already done
+            startQueued(address);
             return;
         }
-        PooledConnection link = new PooledConnection(to, connection);
-        links.add(link);
-        connection.getCloseSetter().set(closed -> {
-            links.remove(link);
-            if (!queued.isEmpty()) loop.execute(this::nextEverywhere);
+        PooledConnection connection = new PooledConnection(address, stream);
+        connections.add(connection);
+        stream.getCloseSetter().set(closed -> {
+            connections.remove(connection);
+            if (!queuedByAddress.isEmpty()) loop.execute(this::startAllQueued);
         });
-        if (call.done()) keep(link);
-        else call.on(link);
-        next(to);
+        if (call.done()) putIdle(connection);
+        else call.attach(connection);
+        startQueued(address);
     }
 
     /**
-     * Keeps a call in its place after a fault of this machine, within the time that it has for its connection. Guards
-     * against requests that use up their attempts, and sound engines that are ejected, while the system is short of
-     * something for a moment.
+     * Keeps a call at the front of its queue after a fault of this machine, within its connect deadline. Guards against
+     * requests that use up their attempts, and healthy engines that are ejected, during a short shortage of local
+     * resources.
      */
-    private void connectAgain(InetSocketAddress to, Call call, IOException fault) {
+    private void retryConnect(InetSocketAddress address, Call call, IOException fault) {
         double now = loop.nowMs();
-        if (now - faultToldMs >= FAULT_LOG_MS) {
-            faultToldMs = now;
-            LOG.warn("cannot connect to {}: {}", to, fault.getMessage());
+        if (now - lastFaultLogMs >= LOCAL_FAULT_LOG_INTERVAL_MS) {
+            lastFaultLogMs = now;
+            LOG.warn("cannot connect to {}: {}", address, fault.getMessage());
         }
-        call.faultedHere();
-        queued.computeIfAbsent(to, t -> new ArrayDeque<>()).addFirst(call);
-        if (!faultPause()) loop.schedule(now + FAULT_PAUSE_MS, this::nextEverywhere);
-        faultPauseUntilMs = now + FAULT_PAUSE_MS;
+        call.markLocalFault();
+        queuedByAddress.computeIfAbsent(address, t -> new ArrayDeque<>()).addFirst(call);
+        if (!inLocalFaultPause()) loop.schedule(now + LOCAL_FAULT_PAUSE_MS, this::startAllQueued);
+        localFaultPauseUntilMs = now + LOCAL_FAULT_PAUSE_MS;
     }
 
-    /** True while no connect is tried, as the last one failed here. */
-    private boolean faultPause() {
-        return loop.nowMs() < faultPauseUntilMs;
+    /** Returns true while connection attempts are paused after a local fault. */
+    private boolean inLocalFaultPause() {
+        return loop.nowMs() < localFaultPauseUntilMs;
     }
 
-    private void nextEverywhere() {
-        if (faultPause()) loop.schedule(faultPauseUntilMs, this::nextEverywhere);
-        else List.copyOf(queued.keySet()).forEach(this::next);
+    private void startAllQueued() {
+        if (inLocalFaultPause()) loop.schedule(localFaultPauseUntilMs, this::startAllQueued);
+        else List.copyOf(queuedByAddress.keySet()).forEach(this::startQueued);
     }
 
-    void keep(PooledConnection link) {
-        link.idle(loop.nowMs());
-        idle.computeIfAbsent(link.to, t -> new ArrayDeque<>()).addLast(link);
-        if (queued.containsKey(link.to)) loop.schedule(loop.nowMs() + SETTLE_MS, () -> next(link.to));
-        if (!sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
+    void putIdle(PooledConnection connection) {
+        connection.markIdle(loop.nowMs());
+        idleByAddress.computeIfAbsent(connection.address, t -> new ArrayDeque<>()).addLast(connection);
+        if (queuedByAddress.containsKey(connection.address))
+            loop.schedule(loop.nowMs() + SETTLE_MS, () -> startQueued(connection.address));
+        if (!sweeping) loop.schedule(loop.nowMs() + SWEEP_INTERVAL_MS, this::sweep);
         sweeping = true;
     }
 
-    /** Guards against a write on a connection that its far side is about to close: that ends as a reset. */
+    /**
+     * Closes connections that have been idle for too long. Guards against writing to a connection that the far side is
+     * about to close, which would end in a reset.
+     */
     private void sweep() {
-        for (ArrayDeque<PooledConnection> kept : idle.values()) {
-            kept.removeIf(link -> {
-                boolean old = !link.open() || loop.nowMs() - link.idleSinceMs >= retireMs;
-                if (old) link.close();
-                return old;
+        for (ArrayDeque<PooledConnection> idleConnections : idleByAddress.values()) {
+            idleConnections.removeIf(connection -> {
+                boolean expired = !connection.isOpen() || loop.nowMs() - connection.idleSinceMs >= maxIdleMs;
+                if (expired) connection.close();
+                return expired;
             });
         }
-        idle.values().removeIf(ArrayDeque::isEmpty);
-        nextEverywhere();
-        sweeping = !idle.isEmpty();
-        if (sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
+        idleByAddress.values().removeIf(ArrayDeque::isEmpty);
+        startAllQueued();
+        sweeping = !idleByAddress.isEmpty();
+        if (sweeping) loop.schedule(loop.nowMs() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    /** Connections that are open or on their way. */
-    int open() {
-        return links.size() + connectingInAll;
+    /** Returns the number of connections that are open or being established. */
+    int connectionCount() {
+        return connections.size() + totalConnecting;
     }
 
     XnioLoop loop() {
--- a/src/main/java/maplerail/net/EngineClient.java
+++ b/src/main/java/maplerail/net/EngineClient.java
@@ -19,110 +19,117 @@
 import maplerail.core.ServiceRequest;
 import maplerail.core.EngineTransport;
 
-/** Attempts and releases on the platform's wire. */
+/** Sends attempts and releases to engines over the HTTP protocol of the platform. */
 public final class EngineClient implements EngineTransport {
-    private static final HttpString DEADLINE = new HttpString("Req-Deadline");
-    private static final int MOST_READ = 64 * 1024; // of an answer that is no stream
-    private static final double READ_BODY_MS = 100; // after the head of a reader's answer, which comes with its body
+    private static final HttpString DEADLINE_HEADER = new HttpString("Req-Deadline");
+    /** Limits the body of a response that is not a stream; the rest is discarded. */
+    private static final int MAX_TEXT_BYTES = 64 * 1024;
+    /** Longest time from the head of a reader's response to its end; the body is sent along with the head. */
+    private static final double READ_BODY_TIMEOUT_MS = 100;
 
     private final ConnectionPool pool;
     private final XnioLoop loop;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
 
-    /** Makes a client that opens its connections from a pool. */
+    /** Creates a client that takes its connections from a pool. */
     public EngineClient(ConnectionPool pool) {
         this.pool = pool;
         this.loop = pool.loop();
     }
 
-    /** Where engines are; one that left the list stays known, as something may be held there. */
-    public void addAddresses(Map<Long, InetSocketAddress> news) {
-        addresses.putAll(news);
+    /** Adds the addresses of engines. An engine that left the list keeps its address, as it may still hold a state. */
+    public void addAddresses(Map<Long, InetSocketAddress> added) {
+        addresses.putAll(added);
     }
 
     @Override
-    public AttemptHandle send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
-            AnswerListener answer) {
+    public AttemptHandle send(long engine, ServiceRequest request, double deadlineMs, BooleanSupplier mayStart,
+            AnswerListener listener) {
         HttpPayload payload = (HttpPayload) request.payload();
-        InetSocketAddress to = addresses.get(engine);
-        Incoming incoming = new Incoming(answer);
-        incoming.call = pool.start(to, () -> request(to, payload, untilMs), payload.body(), mayBegin, incoming);
-        return new CallHandle(incoming.call);
+        InetSocketAddress address = addresses.get(engine);
+        EngineResponseHandler handler = new EngineResponseHandler(listener);
+        handler.call = pool.start(address, () -> request(address, payload, deadlineMs), payload.body(), mayStart,
+                handler);
+        return new CallHandle(handler.call);
     }
 
-    /** A client's request as it goes out now: the deadline that it tells is the time that is left. */
-    private ClientRequest request(InetSocketAddress to, HttpPayload payload, double untilMs) {
-        ClientRequest request = Requests.to(to, payload.method(), payload.target());
+    /** Builds the request as it is written now: its deadline header holds the time that is left. */
+    private ClientRequest request(InetSocketAddress address, HttpPayload payload, double deadlineMs) {
+        ClientRequest request = Requests.to(address, payload.method(), payload.target());
         for (Map.Entry<HttpString, String> header : payload.headers()) {
             request.getRequestHeaders().add(header.getKey(), header.getValue());
         }
-        double leftSeconds = Math.max(1, untilMs - loop.nowMs()) / 1_000;
-        request.getRequestHeaders().put(DEADLINE, String.format(Locale.ROOT, "%.3f", leftSeconds));
+        double leftSeconds = Math.max(1, deadlineMs - loop.nowMs()) / 1_000;
+        request.getRequestHeaders().put(DEADLINE_HEADER, String.format(Locale.ROOT, "%.3f", leftSeconds));
         request.getRequestHeaders().put(Headers.CONTENT_LENGTH, payload.body().length);
         return request;
     }
 
-    /** An engine's answer, told as an outcome. */
-    private final class Incoming implements ResponseHandler {
-        private final AnswerListener answer;
+    /** Maps the response of an engine to the outcome of an attempt. */
+    private final class EngineResponseHandler implements ResponseHandler {
+        private final AnswerListener listener;
         private Call call;
-        private boolean over;
+        private boolean ended;
         private final EventSplitter events = new EventSplitter();
-        private final ByteArrayOutputStream text = new ByteArrayOutputStream();
-        private Outcome meaning;
-        private boolean framed;
-        private boolean unfit;
+        private final ByteArrayOutputStream textBody = new ByteArrayOutputStream();
+        private Outcome headOutcome;
+        private boolean hasFraming;
+        private boolean invalidRequest;
 
-        Incoming(AnswerListener answer) {
-            this.answer = answer;
+        EngineResponseHandler(AnswerListener listener) {
+            this.listener = listener;
         }
 
         @Override
         public void head(int status, HeaderMap headers) {
-            meaning = Outcomes.of(status, headers);
-            unfit = Outcomes.unfit(status);
-            // Without framing the end of the connection is no sign of a whole answer.
-            framed = headers.contains(Headers.TRANSFER_ENCODING) || headers.contains(Headers.CONTENT_LENGTH);
-            if (meaning == Outcome.READ)
-                loop.schedule(loop.nowMs() + READ_BODY_MS, () -> loop.runAfterInput(this::endWithoutBody));
+            headOutcome = Outcomes.of(status, headers);
+            invalidRequest = Outcomes.isInvalidRequest(status);
+            // Without framing, the end of the connection does not prove that the response is complete.
+            hasFraming = headers.contains(Headers.TRANSFER_ENCODING) || headers.contains(Headers.CONTENT_LENGTH);
+            if (headOutcome == Outcome.READ)
+                loop.schedule(loop.nowMs() + READ_BODY_TIMEOUT_MS, () -> loop.runAfterInput(this::endReadWithoutBody));
         }
 
-        /** Its head says that a state is held, and the time of that runs; the body only tells what was kept. */
-        private void endWithoutBody() {
-            if (over) return;
+        /**
+         * Ends a read without waiting any longer for the body. The head has already confirmed that a state is held, and
+         * the pin limit of the state is running; the body only tells how much of the prompt was cached.
+         */
+        private void endReadWithoutBody() {
+            if (ended) return;
             call.abort();
             finish(Outcome.READ, Double.NaN);
         }
 
-        private void finish(Outcome outcome, double kept) {
-            over = true;
-            answer.ended(outcome, kept);
+        private void finish(Outcome outcome, double cachedTokens) {
+            ended = true;
+            listener.ended(outcome, cachedTokens);
         }
 
         @Override
-        public void body(ByteBuffer piece) {
-            if (meaning == Outcome.SERVED) {
-                if (!events.feed(piece, answer::event)) framed = false;
-            } else if (text.size() < MOST_READ) {
-                while (piece.hasRemaining()) text.write(piece.get());
+        public void body(ByteBuffer part) {
+            if (headOutcome == Outcome.SERVED) {
+                if (!events.feed(part, listener::event)) hasFraming = false;
+            } else if (textBody.size() < MAX_TEXT_BYTES) {
+                while (part.hasRemaining()) textBody.write(part.get());
             }
         }
 
         @Override
         public void end() {
-            over = true;
-            if (unfit) {
-                answer.rejected();
+            ended = true;
+            if (invalidRequest) {
+                listener.rejected();
                 return;
             }
-            if (meaning == Outcome.SERVED && framed && events.rest().length > 0) answer.event(events.rest());
-            finish(meaning == Outcome.SERVED && !framed ? Outcome.RESET : meaning, kept());
+            if (headOutcome == Outcome.SERVED && hasFraming && events.remainder().length > 0)
+                listener.event(events.remainder());
+            finish(headOutcome == Outcome.SERVED && !hasFraming ? Outcome.RESET : headOutcome, cachedTokens());
         }
 
-        private double kept() {
-            if (meaning != Outcome.READ) return 0;
+        private double cachedTokens() {
+            if (headOutcome != Outcome.READ) return 0;
             try {
-                return JsonValue.parse("read", text.toString(StandardCharsets.UTF_8)).at("cached_tokens").number(0);
+                return JsonValue.parse("read", textBody.toString(StandardCharsets.UTF_8)).at("cached_tokens").number(0);
             } catch (ConfigException e) {
                 return 0;
             }
@@ -130,14 +137,14 @@
 
         @Override
         public void failed(Failure failure) {
-            finish(Outcomes.broken(meaning, failure), 0);
+            finish(Outcomes.ofFailure(headOutcome, failure), 0);
         }
     }
 
     @Override
-    public void release(long engine, String id, double untilMs, Consumer<ReleaseResult> ended) {
-        InetSocketAddress to = addresses.get(engine);
-        if (to != null) new ReleaseCall(pool, to, id, untilMs, ended).start();
-        else ended.accept(new ReleaseResult(false, 0, 0));
+    public void release(long engine, String id, double deadlineMs, Consumer<ReleaseResult> onEnd) {
+        InetSocketAddress address = addresses.get(engine);
+        if (address != null) new ReleaseCall(pool, address, id, deadlineMs, onEnd).start();
+        else onEnd.accept(new ReleaseResult(false, 0, 0));
     }
 }
--- a/src/main/java/maplerail/net/EventSplitter.java
+++ b/src/main/java/maplerail/net/EventSplitter.java
@@ -5,18 +5,22 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream of server-sent events after each blank line. Guards against passing on half an event when a
- * stream breaks: the client would have to count a token that it cannot read.
+ * Splits a stream of server-sent events after each blank line. Guards against forwarding part of an event when a stream
+ * breaks: the client would have to count a token that it cannot parse.
  */
 final class EventSplitter {
-    private static final int MOST = 256 * 1024; // of an event that does not end
-    private final ByteArrayOutputStream begun = new ByteArrayOutputStream();
+    /** Limits the size of an incomplete event. */
+    private static final int MAX_EVENT_BYTES = 256 * 1024;
+    private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private boolean lineEmpty = true;
 
-    /** Hands on all events that are whole now, in one piece; false for an event without end. */
-    boolean feed(ByteBuffer piece, Consumer<byte[]> whole) {
-        byte[] bytes = new byte[piece.remaining()];
-        piece.get(bytes);
+    /**
+     * Passes all events that are complete now to the consumer, in one part. Returns false if an incomplete event
+     * exceeds the limit.
+     */
+    boolean feed(ByteBuffer part, Consumer<byte[]> consumer) {
+        byte[] bytes = new byte[part.remaining()];
+        part.get(bytes);
         int end = 0;
         for (int i = 0; i < bytes.length; i++) {
             if (bytes[i] == '\n') {
@@ -26,18 +30,18 @@
                 lineEmpty = false;
             }
         }
-        begun.write(bytes, 0, end);
+        pending.write(bytes, 0, end);
         if (end > 0) {
-            byte[] events = begun.toByteArray();
-            begun.reset();
-            whole.accept(events);
+            byte[] events = pending.toByteArray();
+            pending.reset();
+            consumer.accept(events);
         }
-        begun.write(bytes, end, bytes.length - end);
-        return begun.size() <= MOST;
+        pending.write(bytes, end, bytes.length - end);
+        return pending.size() <= MAX_EVENT_BYTES;
     }
 
-    /** What came after the last whole event. */
-    byte[] rest() {
-        return begun.toByteArray();
+    /** Returns the bytes received after the last complete event. */
+    byte[] remainder() {
+        return pending.toByteArray();
     }
 }
--- a/src/main/java/maplerail/net/HttpPayload.java
+++ b/src/main/java/maplerail/net/HttpPayload.java
@@ -5,6 +5,6 @@
 import java.util.Map;
 import maplerail.core.Payload;
 
-/** A client's request as it came: what passes on to an engine unchanged. */
+/** The parts of a client's request that are passed on to an engine unchanged. */
 public record HttpPayload(HttpString method, String target, List<Map.Entry<HttpString, String>> headers, byte[] body)
         implements Payload {}
--- a/src/main/java/maplerail/net/InputBarrier.java
+++ b/src/main/java/maplerail/net/InputBarrier.java
@@ -12,71 +12,73 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Runs tasks once all input that had arrived when they were given has been handed to its listeners. The thread runs all
- * tasks that are due before it looks at its sockets again, so no timer can tell that it has looked. A byte in a pipe can:
- * the round in which it is seen has seen all that was there before it. All calls are made on the thread.
+ * Runs tasks after all input that had arrived when they were submitted has been passed to its listeners. The I/O thread
+ * runs every task that is due before it polls its sockets again, so a timer cannot tell whether it has polled. A byte
+ * in a pipe can: the poll that reports it also reports all input that arrived before it. All methods must be called on
+ * the I/O thread.
  */
 final class InputBarrier implements AutoCloseable {
     private final XnioIoThread thread;
     private final ChannelPipe<StreamSourceChannel, StreamSinkChannel> pipe;
-    private final ByteBuffer mark = ByteBuffer.allocate(1);
-    /** Tasks given before the byte that is in the pipe, and tasks given since. */
-    private List<Runnable> marked = new ArrayList<>();
-    private List<Runnable> waiting = new ArrayList<>();
+    private final ByteBuffer markByte = ByteBuffer.allocate(1);
+    /** Tasks submitted before the byte that is in the pipe was written. */
+    private List<Runnable> markedTasks = new ArrayList<>();
+    /** Tasks submitted since that byte was written. */
+    private List<Runnable> waitingTasks = new ArrayList<>();
 
-    /** Makes the barrier of a thread. */
+    /** Creates the barrier of an I/O thread. */
     InputBarrier(XnioIoThread thread) throws IOException {
         this.thread = thread;
         pipe = thread.createHalfDuplexPipe();
-        pipe.getLeftSide().getReadSetter().set(source -> seen());
+        pipe.getLeftSide().getReadSetter().set(source -> onMark());
         pipe.getLeftSide().resumeReads();
     }
 
-    /** Runs a task after what has arrived by now has been handed on. */
-    void pass(Runnable task) {
-        waiting.add(task);
-        if (marked.isEmpty()) mark();
+    /** Runs a task once the input that has arrived by now has been handled. */
+    void runAfterInput(Runnable task) {
+        waitingTasks.add(task);
+        if (markedTasks.isEmpty()) writeMark();
     }
 
-    private void mark() {
-        marked = waiting;
-        waiting = new ArrayList<>();
-        mark.clear();
+    private void writeMark() {
+        markedTasks = waitingTasks;
+        waitingTasks = new ArrayList<>();
+        markByte.clear();
         try {
-            pipe.getRightSide().write(mark);
+            pipe.getRightSide().write(markByte);
         } catch (IOException e) {
-            finishSoon(); // the pipe is closed, as the thread is stopping
+            scheduleMarked(); // the pipe is closed, as the thread is stopping
         }
     }
 
-    /** Each task is given to the thread by itself, so that one which fails keeps none of the others from running. */
-    private void finishSoon() {
-        execute(this::nextMark);
-        marked.forEach(this::execute);
+    /** Submits each task to the thread separately, so that a task that fails does not keep the others from running. */
+    private void scheduleMarked() {
+        execute(this::startNextBatch);
+        markedTasks.forEach(this::execute);
     }
 
-    private void nextMark() {
-        marked = new ArrayList<>();
-        if (!waiting.isEmpty()) mark();
+    private void startNextBatch() {
+        markedTasks = new ArrayList<>();
+        if (!waitingTasks.isEmpty()) writeMark();
     }
 
     private void execute(Runnable task) {
         try {
             thread.execute(task);
         } catch (RejectedExecutionException e) {
-            return; // the thread is stopping: nothing is to happen any more
+            return; // the thread is stopping, so the task is dropped
         }
     }
 
-    private void seen() {
-        mark.clear();
+    private void onMark() {
+        markByte.clear();
         try {
-            if (pipe.getLeftSide().read(mark) <= 0) return;
+            if (pipe.getLeftSide().read(markByte) <= 0) return;
         } catch (IOException e) {
-            return; // seen again in the next round
+            return; // reported again by the next poll
         }
-        // The sockets of this round come before or after the pipe; tasks come after all of them.
-        finishSoon();
+        // The same poll may report other sockets before or after the pipe; submitted tasks run after all of them.
+        scheduleMarked();
     }
 
     @Override
--- a/src/main/java/maplerail/net/Outcomes.java
+++ b/src/main/java/maplerail/net/Outcomes.java
@@ -4,7 +4,10 @@
 import io.undertow.util.HttpString;
 import maplerail.Router.Outcome;
 
-/** What an answer's status says of an attempt; only a mark proves that it never ran. */
+/**
+ * Maps responses to the outcomes of attempts. Only the header that marks a declined request proves that the attempt
+ * never ran.
+ */
 final class Outcomes {
     static final HttpString DECLINED = new HttpString("Srv-Declined");
 
@@ -21,14 +24,20 @@
         };
     }
 
-    /** True if the status blames the request and not the engine, nor what was asked of it before. */
-    static boolean unfit(int status) {
+    /**
+     * Returns true if the status says that the request itself is invalid, rather than that the engine failed or that an
+     * earlier request is the cause.
+     */
+    static boolean isInvalidRequest(int status) {
         return status >= 400 && status < 500 && status != 408 && status != 410 && status != 429;
     }
 
-    /** What a call without a whole answer says; a head that proves that it never ran holds all the same. */
-    static Outcome broken(Outcome head, ResponseHandler.Failure failure) {
-        if (head != null && head != Outcome.READ && head.hadNoEffect) return head;
+    /**
+     * Returns the outcome of a call without a complete response. An outcome from its head stands if it proves that the
+     * attempt never ran.
+     */
+    static Outcome ofFailure(Outcome headOutcome, ResponseHandler.Failure failure) {
+        if (headOutcome != null && headOutcome != Outcome.READ && headOutcome.hadNoEffect) return headOutcome;
         return switch (failure) {
             case LOCAL_FAULT -> Outcome.NOT_SENT;
             case NEVER_SENT -> Outcome.UNREACHABLE;
--- a/src/main/java/maplerail/net/PooledConnection.java
+++ b/src/main/java/maplerail/net/PooledConnection.java
@@ -9,54 +9,55 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** An open connection of a {@link ConnectionPool}; one call has it at a time, or none. */
+/** An open connection of a {@link ConnectionPool}, used by at most one call at a time. */
 final class PooledConnection {
     private static final Logger LOG = LoggerFactory.getLogger(PooledConnection.class);
 
-    final InetSocketAddress to;
-    final StreamConnection connection;
+    final InetSocketAddress address;
+    final StreamConnection stream;
     double idleSinceMs;
 
-    PooledConnection(InetSocketAddress to, StreamConnection connection) {
-        this.to = to;
-        this.connection = connection;
+    PooledConnection(InetSocketAddress address, StreamConnection stream) {
+        this.address = address;
+        this.stream = stream;
     }
 
-    boolean open() {
-        return connection.isOpen();
+    boolean isOpen() {
+        return stream.isOpen();
     }
 
-    /** Ends it at once; the far side need not agree. */
+    /** Closes the connection at once, without waiting for the far side. */
     void close() {
-        IoUtils.safeClose(connection);
+        IoUtils.safeClose(stream);
     }
 
     /**
-     * Ends it and takes back what has not arrived. Guards against a request that was given up: after a close in good
-     * order the system goes on sending what it holds, and a request that has gone on elsewhere would arrive, too.
+     * Aborts the connection and discards data that has not been delivered. Guards against late arrival of an abandoned
+     * request: after an orderly close the operating system goes on sending what it has buffered, so a request that has
+     * been sent elsewhere in the meantime would arrive a second time.
      */
     void abort() {
         try {
-            connection.setOption(Options.CLOSE_ABORT, true);
+            stream.setOption(Options.CLOSE_ABORT, true);
         } catch (IOException e) {
-            LOG.debug("a connection could not be set to abort", e); // it is gone already
+            LOG.debug("cannot set a connection to abort on close", e); // the connection is already closed
         }
         close();
     }
 
-    /** Watches for what belongs to no call: bytes behind an answer, or the far side's end. Either ends it. */
-    void idle(double nowMs) {
+    /** Marks the connection as idle and closes it if the far side closes it or sends bytes that belong to no call. */
+    void markIdle(double nowMs) {
         idleSinceMs = nowMs;
-        connection.getSinkChannel().suspendWrites();
-        connection.getSourceChannel().setReadListener(c -> quiet());
-        connection.getSourceChannel().resumeReads();
+        stream.getSinkChannel().suspendWrites();
+        stream.getSourceChannel().setReadListener(c -> checkQuiet());
+        stream.getSourceChannel().resumeReads();
     }
 
-    /** True if nothing has come that belongs to no call; else it is ended. */
-    boolean quiet() {
-        if (!open()) return false;
+    /** Returns true if no unexpected input has arrived; otherwise the connection is closed. */
+    boolean checkQuiet() {
+        if (!isOpen()) return false;
         try {
-            if (connection.getSourceChannel().read(ByteBuffer.allocate(1)) == 0) return true;
+            if (stream.getSourceChannel().read(ByteBuffer.allocate(1)) == 0) return true;
         } catch (IOException e) {
             close();
             return false;
--- a/src/main/java/maplerail/net/ReleaseCall.java
+++ b/src/main/java/maplerail/net/ReleaseCall.java
@@ -12,113 +12,122 @@
 import maplerail.core.Loop;
 
 /**
- * One release, which may be made any number of times. The time in which it has to arrive runs while a kept connection is
- * silent and while a new one does not come up, so a try that is not answered soon is followed by one on a further new
- * connection while it is still out; the first answer ends them all.
+ * A release, which may be sent any number of times without harm. The time limit for its arrival keeps running while an
+ * idle connection is silent or a new one is not established. A try that is not answered soon is therefore followed by
+ * another on a new connection while the earlier one is still in flight; the first response ends them all.
  */
 final class ReleaseCall {
-    private static final double FIRST_HEDGE_MS = 60; // after the first try; several times what an answer takes
-    private static final double HEDGE_GROWTH = 2; // of that time with each further try
-    private static final double AGAIN_MS = 30; // after a try that failed while no other is out
-    private static final int MOST_OUT = 3;
+    /** Delay from the first try to the second: several times what a response usually takes. */
+    private static final double INITIAL_HEDGE_DELAY_MS = 60;
+    /** Factor by which the delay grows with each further try. */
+    private static final double HEDGE_DELAY_FACTOR = 2;
+    /** Delay after a failed try while no other is in flight. */
+    private static final double RETRY_DELAY_MS = 30;
+    private static final int MAX_IN_FLIGHT = 3;
 
     private final ConnectionPool pool;
     private final Loop loop;
-    private final InetSocketAddress to;
+    private final InetSocketAddress address;
     private final String target;
-    private final double untilMs;
-    private final Consumer<ReleaseResult> ended;
+    private final double deadlineMs;
+    private final Consumer<ReleaseResult> onEnd;
     private final double startMs;
-    /** Oldest first. */
-    private final Set<Call> out = new LinkedHashSet<>();
-    private Loop.ScheduledTask next;
-    private double hedgeMs = FIRST_HEDGE_MS;
+    /** Tries in flight, oldest first. */
+    private final Set<Call> inFlight = new LinkedHashSet<>();
+    private Loop.ScheduledTask nextTry;
+    private double hedgeDelayMs = INITIAL_HEDGE_DELAY_MS;
     private int tries;
     private boolean done;
 
-    ReleaseCall(ConnectionPool pool, InetSocketAddress to, String id, double untilMs, Consumer<ReleaseResult> ended) {
+    ReleaseCall(ConnectionPool pool, InetSocketAddress address, String id, double deadlineMs,
+            Consumer<ReleaseResult> onEnd) {
         this.pool = pool;
         this.loop = pool.loop();
-        this.to = to;
+        this.address = address;
         this.target = "/internal/reservations/" + id;
-        this.untilMs = untilMs;
-        this.ended = ended;
+        this.deadlineMs = deadlineMs;
+        this.onEnd = onEnd;
         this.startMs = loop.nowMs();
     }
 
-    /** Makes the first try; what follows comes by itself. */
+    /** Sends the first try; further tries are scheduled from there. */
     void start() {
-        attempt();
+        startTry();
     }
 
-    private void attempt() {
+    private void startTry() {
         if (done) return;
-        if (loop.nowMs() >= untilMs && tries > 0) {
+        if (loop.nowMs() >= deadlineMs && tries > 0) {
             finish(false);
             return;
         }
-        // The oldest has had its time: a connection that fell silent, as in a cut that is over by now, stays so.
-        if (out.size() >= MOST_OUT) giveUpOldest();
-        send();
-        next = loop.schedule(loop.nowMs() + hedgeMs, this::attempt);
-        hedgeMs *= HEDGE_GROWTH;
+        // The oldest try has had its time: a connection that stopped responding, for example in a network partition
+        // that has ended since, does not recover.
+        if (inFlight.size() >= MAX_IN_FLIGHT) abortOldest();
+        sendRequest();
+        nextTry = loop.schedule(loop.nowMs() + hedgeDelayMs, this::startTry);
+        hedgeDelayMs *= HEDGE_DELAY_FACTOR;
     }
 
-    private void send() {
-        ClientRequest request = Requests.to(to, Methods.DELETE, target);
-        Try reply = new Try();
-        // What was not answered may have been lost on a connection that fell silent, as others to the engine may be.
-        reply.call = tries++ == 0 ? pool.start(to, request, new byte[0], reply)
-                : pool.startOnNewConnection(to, request, new byte[0], reply);
-        out.add(reply.call);
+    private void sendRequest() {
+        ClientRequest request = Requests.to(address, Methods.DELETE, target);
+        TryHandler handler = new TryHandler();
+        // A try without a response may have been lost on a connection that stopped responding; other idle connections
+        // to the engine may be in the same state.
+        handler.call = tries++ == 0 ? pool.start(address, request, new byte[0], handler)
+                : pool.startOnNewConnection(address, request, new byte[0], handler);
+        inFlight.add(handler.call);
     }
 
-    private void giveUpOldest() {
-        Call oldest = out.iterator().next();
-        out.remove(oldest);
+    private void abortOldest() {
+        Call oldest = inFlight.iterator().next();
+        inFlight.remove(oldest);
         oldest.abort();
     }
 
-    private void failed(Call call) {
-        out.remove(call);
-        if (done || !out.isEmpty()) return;
-        next.cancel();
-        next = loop.schedule(loop.nowMs() + AGAIN_MS, this::attempt);
+    private void onFailed(Call call) {
+        inFlight.remove(call);
+        if (done || !inFlight.isEmpty()) return;
+        nextTry.cancel();
+        nextTry = loop.schedule(loop.nowMs() + RETRY_DELAY_MS, this::startTry);
     }
 
-    /** An answer has begun: it stays to be read to its end, so that its connection can be kept. */
-    private void answered(Call call) {
+    /**
+     * Handles the head of a response. The call is not aborted but read to its end, so that its connection can be
+     * reused.
+     */
+    private void onAnswered(Call call) {
         if (done) return;
-        out.remove(call);
+        inFlight.remove(call);
         finish(true);
     }
 
     private void finish(boolean answered) {
         done = true;
-        next.cancel();
-        Set.copyOf(out).forEach(Call::abort);
-        out.clear();
-        ended.accept(new ReleaseResult(answered, tries, loop.nowMs() - startMs));
+        nextTry.cancel();
+        Set.copyOf(inFlight).forEach(Call::abort);
+        inFlight.clear();
+        onEnd.accept(new ReleaseResult(answered, tries, loop.nowMs() - startMs));
     }
 
-    /** The answer to one try. */
-    private final class Try implements ResponseHandler {
+    /** Handles the response to one try. */
+    private final class TryHandler implements ResponseHandler {
         private Call call;
 
         @Override
         public void head(int status, HeaderMap headers) {
-            answered(call);
+            onAnswered(call);
         }
 
         @Override
-        public void body(ByteBuffer piece) {}
+        public void body(ByteBuffer part) {}
 
         @Override
         public void end() {}
 
         @Override
         public void failed(Failure failure) {
-            ReleaseCall.this.failed(call);
+            ReleaseCall.this.onFailed(call);
         }
     }
 }
--- a/src/main/java/maplerail/net/Requests.java
+++ b/src/main/java/maplerail/net/Requests.java
@@ -5,11 +5,11 @@
 import io.undertow.util.HttpString;
 import java.net.InetSocketAddress;
 
-/** Requests to a server at an address. */
+/** Builds requests to servers. */
 public final class Requests {
     private Requests() {}
 
-    /** One with its host named and nothing else. */
+    /** Returns a request that has a Host header and no others. */
     public static ClientRequest to(InetSocketAddress address, HttpString method, String target) {
         ClientRequest request = new ClientRequest().setMethod(method).setPath(target);
         request.getRequestHeaders().put(Headers.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
--- a/src/main/java/maplerail/net/ResponseHandler.java
+++ b/src/main/java/maplerail/net/ResponseHandler.java
@@ -3,27 +3,29 @@
 import io.undertow.util.HeaderMap;
 import java.nio.ByteBuffer;
 
-/** What hears the answer to a {@link Call}: a head, pieces of the body, then one end or failure. */
+/** Receives the response to a {@link Call}: a head, parts of the body, then either the end or a failure. */
 public interface ResponseHandler {
-    /** Status line and headers have come. */
+    /** Called when the status line and the headers have been received. */
     void head(int status, HeaderMap headers);
 
-    /** A piece of the body; the buffer is the listener's only during the call. */
-    void body(ByteBuffer piece);
+    /** Called for each part of the body; the buffer may be used only during the call. */
+    void body(ByteBuffer part);
 
-    /** The body came to its end as the framing has it. */
+    /** Called when the body is complete according to its framing. */
     void end();
 
-    /** No answer or no end of it. */
+    /** Called if there is no response or if it is incomplete. */
     void failed(Failure failure);
 
-    /** Why a call has no whole answer. */
+    /** Why a call has no complete response. */
     enum Failure {
-        /** This machine could not make a connection: it says nothing of the far side. */
+        /** This machine could not open a connection, which says nothing about the far side. */
         LOCAL_FAULT,
-        /** The last byte was certainly not written: refused, never connected or broken before. */
+        /**
+         * The last byte of the request was not written: the connection was refused, not established, or broke before.
+         */
         NEVER_SENT,
-        /** It broke off, or ended too early, after its last byte was written. */
+        /** The connection broke or ended too early after the last byte of the request had been written. */
         BROKEN
     }
 }
--- a/src/main/java/maplerail/net/ResponseParser.java
+++ b/src/main/java/maplerail/net/ResponseParser.java
@@ -9,203 +9,211 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads one HTTP/1.1 answer, strictly. Guards against what Undertow's client lets pass (its {@code ChunkReader} takes
- * a size that it can't read for 0, the last chunk, and skips whatever stands behind a chunk; its head has no limit):
- * a stream that is spoilt must never end as if it were whole. A chunk is handed on once it proved to fit.
+ * Parses one HTTP/1.1 response strictly. Undertow's client is too lenient: its {@code ChunkReader} takes a size that it
+ * cannot parse for 0 (the last chunk) and skips whatever follows a chunk, and it does not limit the size of a head. A
+ * corrupt stream must never end as if it were complete, so a chunk is passed on only once its terminator has been
+ * checked.
  */
 final class ResponseParser {
-    private static final int MOST_HEAD = 16 * 1024; // all heads of an answer, and the lines round its chunks
-    private static final int MOST_CHUNK = 1 << 20;
-    private static final int MOST_INTERIM = 16; // answers 1xx in front
-    private static final int MOST_FIELDS = 100;
-    private static final int SIZE_DIGITS = 8;
-
-    private enum At { HEAD, LENGTH, SIZE, CHUNK, TAIL, TRAILER, UNFRAMED, DONE }
-
-    private final ResponseHandler reply;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream chunk = new ByteArrayOutputStream();
-    private At at = At.HEAD;
+    /** Limits all heads of a response together, interim ones included, and the lines around each chunk. */
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
+    private static final int MAX_CHUNK_BYTES = 1 << 20;
+    /** Limits the 1xx responses that may precede the actual one. */
+    private static final int MAX_INTERIM_RESPONSES = 16;
+    private static final int MAX_HEADER_FIELDS = 100;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 8;
+
+    private enum State { HEAD, FIXED_LENGTH_BODY, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILERS, BODY_UNTIL_CLOSE, DONE }
+
+    private final ResponseHandler handler;
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream chunkBuffer = new ByteArrayOutputStream();
+    private State state = State.HEAD;
     private HeaderMap headers = new HeaderMap();
     private int status;
-    private int interim;
-    private int fields;
+    private int interimCount;
+    private int fieldCount;
     private int headBytes;
-    private long left;
+    private long remainingBytes;
     private boolean keepAlive;
-    private boolean begun;
-    private boolean headWhole;
+    private boolean partial;
+    private boolean headComplete;
 
-    ResponseParser(ResponseHandler reply) {
-        this.reply = reply;
+    ResponseParser(ResponseHandler handler) {
+        this.handler = handler;
     }
 
-    /** Takes what has come, up to the answer's end; what is left in the buffer then belongs to nobody. */
+    /**
+     * Parses received bytes up to the end of the response. Bytes that remain in the buffer then belong to no response.
+     */
     void feed(ByteBuffer bytes) throws IOException {
-        while (bytes.hasRemaining() && at != At.DONE) {
-            switch (at) {
-                case LENGTH, UNFRAMED -> piece(bytes);
-                case CHUNK -> chunk(bytes);
+        while (bytes.hasRemaining() && state != State.DONE) {
+            switch (state) {
+                case FIXED_LENGTH_BODY, BODY_UNTIL_CLOSE -> readBody(bytes);
+                case CHUNK_DATA -> readChunk(bytes);
                 default -> {
-                    begun = true;
+                    partial = true;
                     byte next = bytes.get();
-                    if (++headBytes > MOST_HEAD) throw new IOException("the head of the answer is too long");
-                    if (next == '\n') line();
-                    else line.write(next);
+                    if (++headBytes > MAX_HEAD_BYTES) throw new IOException("response head is too long");
+                    if (next == '\n') parseLine();
+                    else lineBuffer.write(next);
                 }
             }
         }
     }
 
-    /** The status of its head; 0 before that has come. */
+    /** Returns the status code, or 0 before the status line has been received. */
     int status() {
         return status;
     }
 
-    /** True once the answer is whole. */
+    /** Returns true once the response is complete. */
     boolean done() {
-        return at == At.DONE;
+        return state == State.DONE;
     }
 
-    /** True while a head or chunk has begun and not ended. */
-    boolean within() {
-        return begun && at != At.DONE;
+    /** Returns true while a head or a chunk has been received in part. */
+    boolean incomplete() {
+        return partial && state != State.DONE;
     }
 
-    /** True once the head of the real answer has come, with all that stands in front of it. */
-    boolean headWhole() {
-        return headWhole;
+    /** Returns true once the head of the actual response is complete, after any interim responses. */
+    boolean headComplete() {
+        return headComplete;
     }
 
-    /** True while a head has begun and the head of the real answer is not whole. */
+    /** Returns true while a head has been received in part and the head of the actual response is not complete. */
     boolean inHead() {
-        return within() && !headWhole;
+        return incomplete() && !headComplete;
     }
 
-    /** Nobody wants the rest. */
-    void stop() {
-        at = At.DONE;
+    /** Discards the rest of the response. */
+    void discardRest() {
+        state = State.DONE;
     }
 
-    /** True if nothing says that the connection is of no further use. */
+    /** Returns true unless the response says that its connection cannot be reused. */
     boolean keepAlive() {
         return keepAlive;
     }
 
-    /** The far side has ended its sending: true if the answer is whole by that. */
-    boolean ended() {
-        if (at == At.UNFRAMED) at = At.DONE;
+    /** Handles the end of input; returns true if the response is complete with it. */
+    boolean endOfInput() {
+        if (state == State.BODY_UNTIL_CLOSE) state = State.DONE;
         return done();
     }
 
-    private void piece(ByteBuffer bytes) {
-        int count = at == At.UNFRAMED ? bytes.remaining() : (int) Math.min(left, bytes.remaining());
-        ByteBuffer mine = bytes.duplicate().limit(bytes.position() + count);
+    private void readBody(ByteBuffer bytes) {
+        int count = state == State.BODY_UNTIL_CLOSE ? bytes.remaining()
+                : (int) Math.min(remainingBytes, bytes.remaining());
+        ByteBuffer part = bytes.duplicate().limit(bytes.position() + count);
         bytes.position(bytes.position() + count);
-        left -= count;
-        if (at == At.LENGTH && left == 0) at = At.DONE;
-        reply.body(mine);
-    }
-
-    private void chunk(ByteBuffer bytes) {
-        int count = (int) Math.min(left, bytes.remaining());
-        byte[] taken = new byte[count];
-        bytes.get(taken);
-        chunk.write(taken, 0, count);
-        left -= count;
-        if (left == 0) at = At.TAIL;
-    }
-
-    private void line() throws IOException {
-        byte[] raw = line.toByteArray();
-        line.reset();
-        boolean returned = raw.length > 0 && raw[raw.length - 1] == '\r';
-        String text = new String(raw, 0, raw.length - (returned ? 1 : 0), StandardCharsets.ISO_8859_1);
-        if (text.chars().anyMatch(c -> c < ' ' && c != '\t')) throw new IOException("control characters in the head");
-        switch (at) {
-            case HEAD -> head(text);
-            case SIZE -> size(text, returned);
-            case TAIL -> {
-                if (!returned || !text.isEmpty()) throw new IOException("a chunk does not fit its size");
-                byte[] whole = chunk.toByteArray();
-                chunk.reset();
-                at = At.SIZE;
-                between();
-                reply.body(ByteBuffer.wrap(whole));
+        remainingBytes -= count;
+        if (state == State.FIXED_LENGTH_BODY && remainingBytes == 0) state = State.DONE;
+        handler.body(part);
+    }
+
+    private void readChunk(ByteBuffer bytes) {
+        int count = (int) Math.min(remainingBytes, bytes.remaining());
+        byte[] data = new byte[count];
+        bytes.get(data);
+        chunkBuffer.write(data, 0, count);
+        remainingBytes -= count;
+        if (remainingBytes == 0) state = State.CHUNK_END;
+    }
+
+    private void parseLine() throws IOException {
+        byte[] raw = lineBuffer.toByteArray();
+        lineBuffer.reset();
+        boolean endsWithCr = raw.length > 0 && raw[raw.length - 1] == '\r';
+        String text = new String(raw, 0, raw.length - (endsWithCr ? 1 : 0), StandardCharsets.ISO_8859_1);
+        if (text.chars().anyMatch(c -> c < ' ' && c != '\t'))
+            throw new IOException("control character in a head or chunk line");
+        switch (state) {
+            case HEAD -> parseHeadLine(text);
+            case CHUNK_SIZE -> parseChunkSize(text, endsWithCr);
+            case CHUNK_END -> {
+                if (!endsWithCr || !text.isEmpty()) throw new IOException("chunk data does not match the chunk size");
+                byte[] complete = chunkBuffer.toByteArray();
+                chunkBuffer.reset();
+                state = State.CHUNK_SIZE;
+                finishElement();
+                handler.body(ByteBuffer.wrap(complete));
             }
             default -> {
-                if (text.isEmpty()) at = At.DONE; // behind the trailers, which say nothing that we need
+                if (text.isEmpty()) state = State.DONE; // end of the trailers, which are not used
             }
         }
     }
 
-    private void between() {
-        begun = false;
+    private void finishElement() {
+        partial = false;
         headBytes = 0;
     }
 
-    private void size(String text, boolean returned) throws IOException {
+    private void parseChunkSize(String text, boolean endsWithCr) throws IOException {
         int end = text.indexOf(';');
         String digits = (end < 0 ? text : text.substring(0, end)).trim();
-        if (!returned || !digits.matches("[0-9a-fA-F]{1," + SIZE_DIGITS + "}")) {
-            throw new IOException("the size of a chunk cannot be read");
+        if (!endsWithCr || !digits.matches("[0-9a-fA-F]{1," + MAX_CHUNK_SIZE_DIGITS + "}")) {
+            throw new IOException("invalid chunk size");
         }
-        left = Long.parseLong(digits, 16);
-        if (left > MOST_CHUNK) throw new IOException("a chunk is too large");
-        at = left == 0 ? At.TRAILER : At.CHUNK;
+        remainingBytes = Long.parseLong(digits, 16);
+        if (remainingBytes > MAX_CHUNK_BYTES) throw new IOException("chunk is too large");
+        state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK_DATA;
     }
 
-    private void head(String text) throws IOException {
+    private void parseHeadLine(String text) throws IOException {
         if (status == 0) {
-            if (!text.matches("HTTP/1\\.[01] [1-9][0-9][0-9]( .*)?")) throw new IOException("no status line");
+            if (!text.matches("HTTP/1\\.[01] [1-9][0-9][0-9]( .*)?")) throw new IOException("invalid status line");
             status = Integer.parseInt(text.substring(9, 12));
             keepAlive = text.charAt(7) == '1';
         } else if (text.isEmpty()) {
-            whole();
+            completeHead();
         } else {
             int colon = text.indexOf(':');
             if (colon <= 0 || !text.substring(0, colon).matches("[!#$%&'*+.^_`|~0-9A-Za-z-]+")) {
-                throw new IOException("a header that cannot be read");
+                throw new IOException("invalid header field");
             }
-            if (++fields > MOST_FIELDS) throw new IOException("too many headers");
+            if (++fieldCount > MAX_HEADER_FIELDS) throw new IOException("too many header fields");
             headers.add(new HttpString(text.substring(0, colon)), text.substring(colon + 1).trim());
         }
     }
 
-    private void whole() throws IOException {
+    private void completeHead() throws IOException {
         if (status < 200) {
-            // Answers in front of the real one tell nothing that matters here.
-            if (status == 101 || ++interim > MOST_INTERIM) throw new IOException("not an answer: " + status);
+            // Interim responses carry nothing that is needed here.
+            if (status == 101 || ++interimCount > MAX_INTERIM_RESPONSES)
+                throw new IOException("unexpected interim response: status " + status);
             status = 0;
             headers = new HeaderMap();
-            begun = false;
+            partial = false;
             return;
         }
         String connection = headers.getFirst(Headers.CONNECTION);
         if (connection != null) keepAlive &= !connection.toLowerCase(java.util.Locale.ROOT).contains("close");
         boolean chunked = headers.contains(Headers.TRANSFER_ENCODING);
-        boolean counted = headers.contains(Headers.CONTENT_LENGTH);
-        if (chunked && (counted || headers.count(Headers.TRANSFER_ENCODING) > 1
+        boolean hasLength = headers.contains(Headers.CONTENT_LENGTH);
+        if (chunked && (hasLength || headers.count(Headers.TRANSFER_ENCODING) > 1
                 || !headers.getFirst(Headers.TRANSFER_ENCODING).equalsIgnoreCase("chunked"))) {
-            throw new IOException("the framing of the answer cannot be read");
+            throw new IOException("invalid or ambiguous Transfer-Encoding");
         }
         if (status == 204 || status == 304) {
-            at = At.DONE;
+            state = State.DONE;
         } else if (chunked) {
-            at = At.SIZE;
-        } else if (counted) {
+            state = State.CHUNK_SIZE;
+        } else if (hasLength) {
             String length = headers.getFirst(Headers.CONTENT_LENGTH);
             if (headers.count(Headers.CONTENT_LENGTH) > 1 || !length.matches("[0-9]{1,15}")) {
-                throw new IOException("the length of the answer cannot be read");
+                throw new IOException("invalid or repeated Content-Length");
             }
-            left = Long.parseLong(length);
-            at = left == 0 ? At.DONE : At.LENGTH;
+            remainingBytes = Long.parseLong(length);
+            state = remainingBytes == 0 ? State.DONE : State.FIXED_LENGTH_BODY;
         } else {
-            at = At.UNFRAMED;
+            state = State.BODY_UNTIL_CLOSE;
             keepAlive = false;
         }
-        between();
-        headWhole = true;
-        reply.head(status, headers);
+        finishElement();
+        headComplete = true;
+        handler.head(status, headers);
     }
 }
--- a/src/main/java/maplerail/net/TextResponseHandler.java
+++ b/src/main/java/maplerail/net/TextResponseHandler.java
@@ -5,32 +5,39 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** A reply that is wanted whole, as text, once; what comes after its end is passed over. */
+/**
+ * Collects a response as text and passes it on once complete. The text is cut off at a size limit, and events after the
+ * end are ignored.
+ */
 public abstract class TextResponseHandler implements ResponseHandler {
-    private static final int MOST = 4 << 20;
+    private static final int MAX_BYTES = 4 << 20;
 
     private final ByteArrayOutputStream text = new ByteArrayOutputStream();
     private int status;
     private HeaderMap headers;
-    private boolean over;
-    private double lookedMs;
+    private boolean ended;
+    private double lastProgressMs;
 
-    /** The whole answer; false if it is of no use, which then counts as none. */
-    protected abstract boolean whole(int code, HeaderMap head, String body);
+    /**
+     * Handles the complete response.
+     *
+     * @return false if the response is unusable, which counts as a failure
+     */
+    protected abstract boolean onResponse(int code, HeaderMap head, String body);
 
-    /** No answer came, or none of use. */
-    protected abstract void none();
+    /** Handles a missing or unusable response. */
+    protected abstract void onFailure();
 
     /**
-     * Gives up a call that should have been answered by now, unless its answer is coming: one that is large or comes in
-     * pieces over a slow way would be given up again and again, each time anew.
+     * Aborts a call that is overdue, unless its response is still arriving. Guards against a response that is large or
+     * arrives over a slow path, which would otherwise be aborted and requested anew again and again.
      *
-     * @return true if it goes on, and is to be looked at again
+     * @return true if the call goes on and has to be checked again
      */
-    public final boolean expire(Call call) {
-        if (over) return false;
-        if (call.receivedMs() > lookedMs) {
-            lookedMs = call.receivedMs();
+    public final boolean abortIfStalled(Call call) {
+        if (ended) return false;
+        if (call.lastReceivedMs() > lastProgressMs) {
+            lastProgressMs = call.lastReceivedMs();
             return true;
         }
         call.abort();
@@ -45,21 +52,21 @@
     }
 
     @Override
-    public final void body(ByteBuffer piece) {
-        while (piece.hasRemaining() && text.size() < MOST) text.write(piece.get());
+    public final void body(ByteBuffer part) {
+        while (part.hasRemaining() && text.size() < MAX_BYTES) text.write(part.get());
     }
 
     @Override
     public final void end() {
-        if (over) return;
-        over = true;
-        if (!whole(status, headers, text.toString(StandardCharsets.UTF_8))) none();
+        if (ended) return;
+        ended = true;
+        if (!onResponse(status, headers, text.toString(StandardCharsets.UTF_8))) onFailure();
     }
 
     @Override
     public final void failed(Failure failure) {
-        if (over) return;
-        over = true;
-        none();
+        if (ended) return;
+        ended = true;
+        onFailure();
     }
 }
--- a/src/main/java/maplerail/net/ToolClient.java
+++ b/src/main/java/maplerail/net/ToolClient.java
@@ -18,98 +18,98 @@
 import maplerail.core.ServiceRequest;
 import maplerail.core.EngineTransport;
 
-/** Attempts at tool servers: one HTTP POST each, whose reply counts when it is whole. */
+/** Sends attempts to tool servers: one HTTP POST each, whose reply counts only if it is complete. */
 public final class ToolClient implements EngineTransport {
-    /** What a reply that its contract does not allow is answered with: the call has run. */
-    public static final String TOO_LARGE = "{\"error\":{\"code\":-32004,\"message\":\"the reply is larger than its"
-            + " contract allows\",\"data\":{\"outcome\":\"failed\",\"mayHaveRun\":true}}}";
-    private static final HttpString ID = new HttpString("Req-Id");
-    private static final HttpString DEADLINE = new HttpString("Req-Deadline");
+    /** Replaces a reply that is larger than its contract allows; the call has run. */
+    public static final String REPLY_TOO_LARGE = "{\"error\":{\"code\":-32004,\"message\":\"the reply is larger than"
+            + " its contract allows\",\"data\":{\"outcome\":\"failed\",\"mayHaveRun\":true}}}";
+    private static final HttpString ID_HEADER = new HttpString("Req-Id");
+    private static final HttpString DEADLINE_HEADER = new HttpString("Req-Deadline");
 
     private final ConnectionPool pool;
     private final XnioLoop loop;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
 
-    /** Makes a client that opens its connections from a pool. */
+    /** Creates a client that takes its connections from a pool. */
     public ToolClient(ConnectionPool pool) {
         this.pool = pool;
         this.loop = pool.loop();
     }
 
-    /** Where tool servers are. */
-    public void addAddresses(Map<Long, InetSocketAddress> news) {
-        addresses.putAll(news);
+    /** Adds the addresses of tool servers. */
+    public void addAddresses(Map<Long, InetSocketAddress> added) {
+        addresses.putAll(added);
     }
 
     @Override
-    public AttemptHandle send(long engine, ServiceRequest request, double untilMs, BooleanSupplier mayBegin,
-            AnswerListener answer) {
+    public AttemptHandle send(long engine, ServiceRequest request, double deadlineMs, BooleanSupplier mayStart,
+            AnswerListener listener) {
         ToolPayload payload = (ToolPayload) request.payload();
-        InetSocketAddress to = addresses.get(engine);
-        Incoming incoming = new Incoming(answer, payload.mostReply());
-        incoming.call = pool.start(to, () -> request(to, request.id(), payload, untilMs), payload.message(),
-                mayBegin, incoming);
-        return new CallHandle(incoming.call);
+        InetSocketAddress address = addresses.get(engine);
+        ToolResponseHandler handler = new ToolResponseHandler(listener, payload.maxReplyBytes());
+        handler.call = pool.start(address, () -> request(address, request.id(), payload, deadlineMs), payload.message(),
+                mayStart, handler);
+        return new CallHandle(handler.call);
     }
 
-    private ClientRequest request(InetSocketAddress to, String id, ToolPayload payload, double untilMs) {
-        ClientRequest request = Requests.to(to, Methods.POST, payload.path());
-        request.getRequestHeaders().put(ID, id);
-        double leftSeconds = Math.max(1, untilMs - loop.nowMs()) / 1_000;
-        request.getRequestHeaders().put(DEADLINE, String.format(Locale.ROOT, "%.3f", leftSeconds));
+    private ClientRequest request(InetSocketAddress address, String id, ToolPayload payload, double deadlineMs) {
+        ClientRequest request = Requests.to(address, Methods.POST, payload.path());
+        request.getRequestHeaders().put(ID_HEADER, id);
+        double leftSeconds = Math.max(1, deadlineMs - loop.nowMs()) / 1_000;
+        request.getRequestHeaders().put(DEADLINE_HEADER, String.format(Locale.ROOT, "%.3f", leftSeconds));
         request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
         request.getRequestHeaders().put(Headers.CONTENT_LENGTH, payload.message().length);
         return request;
     }
 
-    private static final class Incoming implements ResponseHandler {
-        private final AnswerListener answer;
-        private final int most;
+    private static final class ToolResponseHandler implements ResponseHandler {
+        private final AnswerListener listener;
+        private final int maxReplyBytes;
         private final ByteArrayOutputStream text = new ByteArrayOutputStream();
-        private Outcome meaning;
-        private boolean framed;
+        private Outcome headOutcome;
+        private boolean hasFraming;
         private Call call;
 
-        Incoming(AnswerListener answer, int most) {
-            this.answer = answer;
-            this.most = most;
+        ToolResponseHandler(AnswerListener listener, int maxReplyBytes) {
+            this.listener = listener;
+            this.maxReplyBytes = maxReplyBytes;
         }
 
         @Override
         public void head(int status, HeaderMap headers) {
-            // A tool server has no state to hand over: 202 is no answer that a call could end with.
-            meaning = status == 202 ? Outcome.ERROR : Outcomes.of(status, headers);
-            framed = headers.contains(Headers.TRANSFER_ENCODING) || headers.contains(Headers.CONTENT_LENGTH);
+            // A tool server has no state to hand over, so a call cannot end with 202.
+            headOutcome = status == 202 ? Outcome.ERROR : Outcomes.of(status, headers);
+            hasFraming = headers.contains(Headers.TRANSFER_ENCODING) || headers.contains(Headers.CONTENT_LENGTH);
         }
 
         @Override
-        public void body(ByteBuffer piece) {
-            if (meaning != Outcome.SERVED) return;
-            if (text.size() + piece.remaining() > most) {
+        public void body(ByteBuffer part) {
+            if (headOutcome != Outcome.SERVED) return;
+            if (text.size() + part.remaining() > maxReplyBytes) {
                 call.abort();
-                answer.event(TOO_LARGE.getBytes(StandardCharsets.UTF_8));
-                answer.ended(Outcome.SERVED, 0);
+                listener.event(REPLY_TOO_LARGE.getBytes(StandardCharsets.UTF_8));
+                listener.ended(Outcome.SERVED, 0);
                 return;
             }
-            while (piece.hasRemaining()) text.write(piece.get());
+            while (part.hasRemaining()) text.write(part.get());
         }
 
         @Override
         public void end() {
-            boolean whole = meaning == Outcome.SERVED && framed;
-            if (whole) answer.event(text.toByteArray());
-            answer.ended(meaning == Outcome.SERVED && !whole ? Outcome.RESET : meaning, 0);
+            boolean complete = headOutcome == Outcome.SERVED && hasFraming;
+            if (complete) listener.event(text.toByteArray());
+            listener.ended(headOutcome == Outcome.SERVED && !complete ? Outcome.RESET : headOutcome, 0);
         }
 
         @Override
         public void failed(Failure failure) {
-            answer.ended(Outcomes.broken(meaning, failure), 0);
+            listener.ended(Outcomes.ofFailure(headOutcome, failure), 0);
         }
     }
 
-    /** Tool servers hold nothing for a request that has ended. */
+    /** Reports success at once: tool servers hold nothing for a request that has ended. */
     @Override
-    public void release(long engine, String id, double untilMs, Consumer<ReleaseResult> ended) {
-        ended.accept(new ReleaseResult(true, 0, 0));
+    public void release(long engine, String id, double deadlineMs, Consumer<ReleaseResult> onEnd) {
+        onEnd.accept(new ReleaseResult(true, 0, 0));
     }
 }
--- a/src/main/java/maplerail/net/ToolPayload.java
+++ b/src/main/java/maplerail/net/ToolPayload.java
@@ -2,5 +2,10 @@
 
 import maplerail.core.Payload;
 
-/** A tool call: the message for the tool server, and the most bytes that its reply may hold. */
-public record ToolPayload(String path, byte[] message, int mostReply) implements Payload {}
+/**
+ * A tool call.
+ *
+ * @param message the message for the tool server
+ * @param maxReplyBytes limit on the size of the reply
+ */
+public record ToolPayload(String path, byte[] message, int maxReplyBytes) implements Payload {}
--- a/src/main/java/maplerail/net/XnioLoop.java
+++ b/src/main/java/maplerail/net/XnioLoop.java
@@ -8,14 +8,17 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The broker's loop on an XNIO thread: everything that it owns runs there and needs no locks. */
+/** The event loop of the broker on an XNIO thread. Everything that it owns runs on that thread and needs no locks. */
 public final class XnioLoop implements Loop, AutoCloseable {
-    /** Between two looks at what has arrived: what a request or an answer may seem to be older than it is. */
-    private static final double LOOK_MS = 50;
-    /** Between two looks, from which this process may have stood still. */
-    private static final double STANDSTILL_MS = 100;
-    /** Looks in time after a standstill, until the thread that accepts connections has come to all that waited. */
-    private static final int CATCH_UP_LOOKS = 2;
+    /** Interval of input checks, by which a request or a response may seem older than it is. */
+    private static final double INPUT_CHECK_INTERVAL_MS = 50;
+    /** Interval between two input checks above which this process may have been suspended. */
+    private static final double STALL_THRESHOLD_MS = 100;
+    /**
+     * Number of timely input checks after a stall by which the thread that accepts connections has handled all that
+     * were waiting.
+     */
+    private static final int CATCH_UP_CHECKS = 2;
 
     private final XnioIoThread thread;
     private final long startNanos = System.nanoTime();
@@ -23,9 +26,9 @@
     private final InputBarrier barrier;
     private double inputArrivedAfterMs = startMs;
     private double connectionsArrivedAfterMs = startMs;
-    private int looksInTime;
+    private int timelyChecks;
 
-    /** Makes the loop of a thread. */
+    /** Creates the loop of an I/O thread. */
     public XnioLoop(XnioIoThread thread) {
         this.thread = thread;
         try {
@@ -33,10 +36,10 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        execute(this::look);
+        execute(this::checkInput);
     }
 
-    /** The thread. */
+    /** Returns the I/O thread. */
     public XnioIoThread thread() {
         return thread;
     }
@@ -46,13 +49,13 @@
         return startMs + (System.nanoTime() - startNanos) / 1e6;
     }
 
-    private void look() {
-        double lookMs = nowMs();
-        looksInTime = lookMs - inputArrivedAfterMs > STANDSTILL_MS ? 0 : looksInTime + 1;
-        barrier.pass(() -> {
-            inputArrivedAfterMs = lookMs;
-            if (looksInTime >= CATCH_UP_LOOKS) connectionsArrivedAfterMs = lookMs;
-            schedule(nowMs() + LOOK_MS, this::look);
+    private void checkInput() {
+        double checkMs = nowMs();
+        timelyChecks = checkMs - inputArrivedAfterMs > STALL_THRESHOLD_MS ? 0 : timelyChecks + 1;
+        barrier.runAfterInput(() -> {
+            inputArrivedAfterMs = checkMs;
+            if (timelyChecks >= CATCH_UP_CHECKS) connectionsArrivedAfterMs = checkMs;
+            schedule(nowMs() + INPUT_CHECK_INTERVAL_MS, this::checkInput);
         });
     }
 
@@ -68,23 +71,26 @@
 
     @Override
     public ScheduledTask schedule(double whenMs, Runnable task) {
-        long millis = (long) Math.ceil(Math.max(0, whenMs - nowMs())); // the thread cuts off parts of one
+        long millis = (long) Math.ceil(Math.max(0, whenMs - nowMs())); // the thread discards fractions of a millisecond
         try {
             XnioExecutor.Key key = thread.executeAfter(task, millis, TimeUnit.MILLISECONDS);
             return key::remove;
         } catch (RejectedExecutionException e) {
-            return () -> {}; // the thread is stopping: nothing is to happen any more
+            return () -> {}; // the thread is stopping, so the task is dropped
         }
     }
 
     @Override
     public ScheduledTask runAfterInput(Runnable task) {
-        CancellableTask one = new CancellableTask(task);
-        barrier.pass(one);
-        return one::cancel;
+        CancellableTask cancellable = new CancellableTask(task);
+        barrier.runAfterInput(cancellable);
+        return cancellable::cancel;
     }
 
-    /** Runs a task soon, from any thread; not at all once the thread is stopping. */
+    /**
+     * Runs a task on the loop as soon as possible; it is dropped once the thread is stopping. May be called from any
+     * thread.
+     */
     public void execute(Runnable task) {
         try {
             thread.execute(task);
--- a/src/main/java/maplerail/net/package-info.java
+++ b/src/main/java/maplerail/net/package-info.java
@@ -1,2 +1,5 @@
-/** Connections to engines and tool servers, and what their answers mean. Nothing here sends anything twice. */
+/**
+ * Connections to engines and tool servers, and the interpretation of their responses. Nothing here sends a request
+ * twice.
+ */
 package maplerail.net;
--- a/src/test/java/maplerail/discovery/BackOffTest.java
+++ b/src/test/java/maplerail/discovery/BackOffTest.java
@@ -6,31 +6,35 @@
 import org.junit.jupiter.api.Test;
 
 class BackOffTest {
-    private static final double TOLD_MS = 6_000; // after which a change counts as told
-    private static final double ANSWER_MS = 2_000; // what a busy discovery takes
+    /** Time after which a change counts as known to the node. */
+    private static final double KNOWN_AFTER_MS = 6_000;
+    /** Response time of a busy discovery service. */
+    private static final double BUSY_RESPONSE_MS = 2_000;
 
-    /** The next call's answer has to come before what the refused one missed counts as told. */
+    /** The response to the next call has to arrive before a change missed by the refused call counts as known. */
     @Test
-    void theNextCallComesInTimeHoweverManyNodesAndRefusals() {
+    void nextCallIsInTimeForAnyNumberOfNodesAndRefusals() {
         for (int nodes : new int[] {1, 14, 100, 1_000}) {
-            BackOff waits = new BackOff(nodes, 7);
-            double now = 0;
+            BackOff backOff = new BackOff(nodes, 7);
+            double nowMs = 0;
             for (int refusal = 0; refusal < 200; refusal++) {
-                double asked = now;
-                double refused = asked + (refusal % 2 == 0 ? 1 : ANSWER_MS);
-                now = waits.againMs(asked, refused);
-                assertThat(now).isBetween(refused + BackOff.LEAST_MS, asked + TOLD_MS - ANSWER_MS);
+                double sentMs = nowMs;
+                double refusedMs = sentMs + (refusal % 2 == 0 ? 1 : BUSY_RESPONSE_MS);
+                nowMs = backOff.nextCallMs(sentMs, refusedMs);
+                assertThat(nowMs).isBetween(refusedMs + BackOff.MIN_DELAY_MS,
+                        sentMs + KNOWN_AFTER_MS - BUSY_RESPONSE_MS);
             }
         }
     }
 
-    /** A hundred nodes that were refused together spread out, so that most of them are answered. */
+    /** A hundred nodes that were refused together spread their calls, so that most of them are served. */
     @Test
-    void nodesRefusedTogetherDoNotComeAgainTogether() {
-        double[] times = IntStream.range(0, 100).mapToDouble(seed -> new BackOff(100, seed).againMs(0, 1)).sorted()
+    void nodesRefusedTogetherDoNotRetryTogether() {
+        double[] times = IntStream.range(0, 100).mapToDouble(seed -> new BackOff(100, seed).nextCallMs(0, 1)).sorted()
                 .toArray();
         for (int i = 0; i + 15 < times.length; i++) {
-            assertThat(times[i + 15] - times[i]).as("fifteen calls in a twentieth of a second").isGreaterThan(50);
+            assertThat(times[i + 15] - times[i]).as("milliseconds that sixteen calls are spread over")
+                    .isGreaterThan(50);
         }
     }
 }
--- a/src/test/java/maplerail/discovery/ConsulTest.java
+++ b/src/test/java/maplerail/discovery/ConsulTest.java
@@ -15,36 +15,36 @@
 class ConsulTest {
     @ParameterizedTest
     @CsvSource({"0,7,7", "7,7,7", "7,9,9", "9,7,0", "9,,0", "9,soon,0", "0,0,0", "5,-1,0"})
-    void theIndexStartsAnewWhenItGoesBackwards(long last, String told, long next) {
-        assertThat(BlockingQuery.next(last, told)).isEqualTo(next);
+    void queryStartsOverWhenTheIndexGoesBackwards(long last, String received, long next) {
+        assertThat(BlockingQuery.nextIndex(last, received)).isEqualTo(next);
     }
 
     @ParameterizedTest
     @CsvSource({"passing,passing,READY", "passing,warning,READY", "passing,critical,DRAINING",
             "maintenance,passing,DRAINING", "passing,unheard,DRAINING"})
-    void aServerIsCalledWhileNoCheckIsCritical(String one, String two, State state) {
-        EngineList list = ConsulWatch.read(JsonValue.parse("health", """
+    void serverIsReadyUnlessACheckIsCritical(String firstCheck, String secondCheck, State state) {
+        EngineList list = ConsulWatch.readServers(JsonValue.parse("health", """
                 [{"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":"r1","Address":"","Port":80},
                   "Checks":[{"Status":"%s"},{"Status":"%s"}]},
-                 {"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":"no-port"}}]""".formatted(one, two)), 1);
+                 {"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":"no-port"}}]""".formatted(firstCheck,
+                secondCheck)), 1);
         assertThat(list.members()).hasSize(1);
         assertThat(list.members().get(0).state()).isEqualTo(state);
         assertThat(list.addresses().values().iterator().next().toString()).isEqualTo("/127.0.0.9:80");
     }
 
-    private static EngineList platform(String dial, String health) {
+    private static EngineList platformList(String dial, String health) {
         NameTables names = new NameTables(java.util.List.of("caerdydd"), java.util.List.of("prefill"),
-                java.util.List.of(),
-                java.util.List.of());
+                java.util.List.of(), java.util.List.of());
         return EngineList.read(JsonValue.parseObject("list", """
                 {"seq":4,"whole":false,"hosts":[{"host":"s-5be2a07c","dial":"%s","site":"caerdydd","class":"prefill",
                  "block":3,"health":"%s","share":1.5,"born_ms":12}]}""".formatted(dial, health)), names);
     }
 
     @Test
-    void anEnginesIdDerivesFromItsHostAlone() {
-        EngineList here = platform("127.0.0.1:80", "in_service");
-        EngineList there = platform("127.0.0.2:81", "in_service");
+    void engineIdDependsOnTheHostOnly() {
+        EngineList here = platformList("127.0.0.1:80", "in_service");
+        EngineList there = platformList("127.0.0.2:81", "in_service");
         assertThat(here.members()).isEqualTo(there.members());
         assertThat(here.members().get(0).engine()).isEqualTo(StableIds.ofEngine("s-5be2a07c"));
         assertThat(here.members().get(0).zone()).isZero();
@@ -52,13 +52,13 @@
 
     @ParameterizedTest
     @CsvSource({"in_service,READY", "terminating,DRAINING", "terminated,GONE", "on_holiday,DRAINING"})
-    void aHealthThatIsNotKnownGetsNothingNew(String health, State state) {
-        assertThat(platform("127.0.0.1:80", health).members().get(0).state()).isEqualTo(state);
+    void engineOfUnknownHealthIsDraining(String health, State state) {
+        assertThat(platformList("127.0.0.1:80", health).members().get(0).state()).isEqualTo(state);
     }
 
     @ParameterizedTest
     @CsvSource({"7f3a9c21e0b4d655,9167811660783867477", "ff,255", "'',0"})
-    void aKeyOfHexDigitsIsItsNumber(String text, long key) {
+    void hexKeyIsParsedAsANumber(String text, long key) {
         assertThat(StableIds.ofKey(text)).isEqualTo(key);
         assertThat(StableIds.ofKey("chat/" + text)).isNotEqualTo(key);
     }
@@ -73,13 +73,13 @@
             {"a":true}                 | a | true
             {"a":{"b":null}}           | a | {"b":null}
             """)
-    void whatIsPassedOnStaysToTheLetter(String text, String field, String value) {
+    void forwardedValuesAreKeptVerbatim(String text, String field, String value) {
         assertThat(Json.fields(text)).containsEntry(field, value);
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', value = {"{\"a\":1", "[1]", "{} {}", "7", "{\"a\":01}", "{a:1}"})
-    void whatIsNoSingleObjectHasNoFields(String text) {
+    void textOtherThanASingleObjectHasNoFields(String text) {
         assertThat(Json.fields(text)).isNull();
     }
 }
--- a/src/test/java/maplerail/discovery/PlatformWatchTest.java
+++ b/src/test/java/maplerail/discovery/PlatformWatchTest.java
@@ -20,9 +20,12 @@
 import org.junit.jupiter.api.Test;
 
 class PlatformWatchTest {
-    /** Whole lists in place of a watch that was turned away, and calls without a pause, keep discovery overloaded. */
+    /**
+     * Guards against keeping an overloaded discovery overloaded, by whole lists requested after a refused watch or by
+     * calls without a pause.
+     */
     @Test
-    void aWatchThatIsTurnedAwayGoesOnFromWhatWasToldAndBacksOff() throws Exception {
+    void refusedWatchContinuesFromTheKnownListAndBacksOff() throws Exception {
         List<Long> atNanos = new CopyOnWriteArrayList<>();
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
@@ -34,20 +37,20 @@
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
                         .discoveredBy(agent)) {
             world.start();
-            await("asked again and again", () -> atNanos.size() >= 4);
+            await("repeated calls", () -> atNanos.size() >= 4);
             assertThat(agent.seen.subList(1, 4)).allMatch(seen -> seen.startsWith("GET /api/targets?index=7&"));
-            // Two waits, of 50 ms at least.
+            // Two delays of 50 ms at least.
             assertThat(atNanos.get(3) - atNanos.get(1)).isGreaterThan(99_000_000L);
         }
     }
 
     @Test
-    void aListThatCannotBeReadChangesNothingAndIsAskedForAgain() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+    void invalidListIsIgnoredAndRequestedAgain() throws Exception {
+        AtomicInteger requestCount = new AtomicInteger();
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 StandIn agent = new StandIn(x -> {
-                    switch (asked.incrementAndGet()) {
+                    switch (requestCount.incrementAndGet()) {
                         case 1 -> x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":");
                         case 2 -> x.reply(200, "{\"seq\":-7,\"whole\":true,\"hosts\":[]}");
                         case 3 -> x.reply(200, "[]");
@@ -58,15 +61,15 @@
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
                         .discoveredBy(agent)) {
             world.start();
-            await("asked again", () -> asked.get() >= 5);
-            assertThat(agent.seen.subList(1, 5)).as("anew").containsOnly("GET /api/targets");
+            await("called again", () -> requestCount.get() >= 5);
+            assertThat(agent.seen.subList(1, 5)).as("requests for the whole list").containsOnly("GET /api/targets");
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
         }
     }
 
-    /** What a silent call missed counts as told 6 s after it fell silent. */
+    /** A change missed by a silent call counts as known to the node 6 s after the call fell silent. */
     @Test
-    void aCallThatFallsSilentIsFollowedByAnotherWithinTheTimeToBeTold() throws Exception {
+    void silentCallIsReplacedBeforeMissedChangesCountAsKnown() throws Exception {
         List<Long> atNanos = new CopyOnWriteArrayList<>();
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
@@ -78,14 +81,14 @@
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
                         .discoveredBy(agent)) {
             world.start();
-            await("opened anew", () -> atNanos.size() >= 3);
+            await("called on a new connection", () -> atNanos.size() >= 3);
             assertThat(atNanos.get(2) - atNanos.get(1)).isLessThan(4_500_000_000L);
         }
     }
 
-    /** From a discovery that is slow or crowded, a large list takes longer than a call is waited for. */
+    /** A large list from a slow or overloaded discovery takes longer than the timeout of a call. */
     @Test
-    void aListThatKeepsComingIsHeard() throws Exception {
+    void listThatKeepsArrivingIsAccepted() throws Exception {
         String list = "{\"seq\":7,\"whole\":true,\"hosts\":[]}";
         try (StandIn agent = new StandIn(x -> {
             if (!x.target.equals("/api/targets")) x.awaitEnd();
@@ -97,7 +100,7 @@
             Gateway gateway = new Gateway(NodeConfig.read(unknown, Map.of()), null);
             try {
                 gateway.start();
-                await("asked for changes", () -> agent.count("GET /api/targets?index=7&") > 0);
+                await("call for changes", () -> agent.count("GET /api/targets?index=7&") > 0);
                 assertThat(agent.count("GET /api/targets")).as("one whole list").isEqualTo(2);
             } finally {
                 gateway.stop();
@@ -105,13 +108,13 @@
         }
     }
 
-    /** Of that, too, a site's limit on held states says nothing. */
+    /** A site's limit on held states does not apply to this response either. */
     @Test
-    void aListInOneChunkThatComesInPiecesIsHeard() throws Exception {
+    void listInASlowlyArrivingChunkIsAccepted() throws Exception {
         String list = "{\"seq\":7,\"whole\":true,\"hosts\":[]}";
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger requestCount = new AtomicInteger();
         try (StandIn agent = new StandIn(x -> {
-            if (asked.incrementAndGet() > 1) {
+            if (requestCount.incrementAndGet() > 1) {
                 x.awaitEnd();
                 return;
             }
@@ -119,14 +122,14 @@
             x.drip(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n0\r\n\r\n", 1_000);
         }); World world = new World().discoveredBy(agent)) {
             world.begin();
-            await("asked again", () -> asked.get() > 1);
+            await("called again", () -> requestCount.get() > 1);
             assertThat(agent.seen.get(1)).startsWith("GET /api/targets?index=7&");
         }
     }
 
-    /** Its beginning does not make it less silent. */
+    /** A partial response does not exempt a call from the limit on silence. */
     @Test
-    void aListThatStopsIsAskedForAgainWithinTheTimeToBeTold() throws Exception {
+    void stalledListIsRequestedAgainBeforeMissedChangesCountAsKnown() throws Exception {
         List<Long> atNanos = new CopyOnWriteArrayList<>();
         try (StandIn agent = new StandIn(x -> {
             atNanos.add(System.nanoTime());
@@ -135,50 +138,52 @@
             if (atNanos.size() > 1) x.awaitEnd();
         }); World world = new World().discoveredBy(agent)) {
             world.start();
-            await("opened anew", () -> atNanos.size() >= 3);
+            await("called on a new connection", () -> atNanos.size() >= 3);
             assertThat(atNanos.get(2) - atNanos.get(1)).isLessThan(4_500_000_000L);
         }
     }
 
-    /** All nodes restart at once in a release, and each whole list takes an overloaded discovery's time. */
+    /** All nodes restart at once in a rollout, and each whole list takes capacity of an overloaded discovery. */
     @Test
-    void aNodeGoesOnFromTheListThatItKnows() throws Exception {
+    void nodeContinuesFromItsKnownList() throws Exception {
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)) {
             world.start();
-            await("asked", () -> world.discovery().seen.size() > 0);
+            await("first call", () -> world.discovery().seen.size() > 0);
             assertThat(world.discovery().seen.get(0)).startsWith("GET /api/targets?index=3&");
         }
     }
 
-    /** Where lists are pushed, what the agent has counts as told before the first request comes. */
+    /** With pushed lists, what the agent holds counts as known before the first request arrives. */
     @Test
-    void aNodeIsNotReadyOnAnOldListBeforeItsAgentHasSaidWhatChanged() throws Exception {
-        BlockingQueue<StandIn.Exchange> first = World.queue();
+    void nodeIsNotReadyOnAnOldListBeforeItsAgentConfirmsIt() throws Exception {
+        BlockingQueue<StandIn.Exchange> firstRequests = World.queue();
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 StandIn other = World.writer();
                 StandIn agent = new StandIn(x -> {
-                    if (x.target.endsWith("wait=0")) first.add(x);
+                    if (x.target.endsWith("wait=0")) firstRequests.add(x);
                     else x.awaitEnd();
                 });
                 World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer)
                         .engine("w2", "decode", other).discoveredBy(agent)) {
             world.begin();
-            StandIn.Exchange asked = take(first);
+            StandIn.Exchange firstRequest = take(firstRequests);
             assertThat(world.gateway.phase()).isEqualTo(Phase.STARTING);
-            Socket early = world.connect();
+            Socket client = world.connect();
             String ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-            early.getOutputStream().write(ready.getBytes(StandardCharsets.UTF_8));
-            assertThat(new String(early.getInputStream().readNBytes(12), StandardCharsets.UTF_8)).endsWith("503");
-            asked.reply(200, "{\"seq\":9,\"whole\":false,\"hosts\":[{\"host\":\"w1\",\"dial\":\"" + writer.address()
+            client.getOutputStream().write(ready.getBytes(StandardCharsets.UTF_8));
+            assertThat(new String(client.getInputStream().readNBytes(12), StandardCharsets.UTF_8)).endsWith("503");
+            firstRequest.reply(200, "{\"seq\":9,\"whole\":false,\"hosts\":[{\"host\":\"w1\",\"dial\":\""
+                    + writer.address()
                     + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"terminating\"}]}");
             await("ready", () -> world.gateway.phase() == Phase.READY);
-            String closing = ready.replaceFirst("\r\n", "\r\nConnection: close\r\n");
-            early.getOutputStream().write(closing.getBytes(StandardCharsets.UTF_8));
-            assertThat(World.readAll(early.getInputStream())).as("who came early stays").contains("HTTP/1.1 200");
-            early.close();
+            String closingRequest = ready.replaceFirst("\r\n", "\r\nConnection: close\r\n");
+            client.getOutputStream().write(closingRequest.getBytes(StandardCharsets.UTF_8));
+            assertThat(World.readAll(client.getInputStream())).as("the early connection stays open")
+                    .contains("HTTP/1.1 200");
+            client.close();
             for (int i = 0; i < 10; i++) {
                 assertThat(world.exchange(request("a" + i, "lookup", "5.0"))).startsWith("HTTP/1.1 200");
             }
@@ -186,28 +191,33 @@
         }
     }
 
-    /** Found on the large herd day: a client reached a restarted gateway before its agent's answer did. */
+    /**
+     * Guards against a failure found on the large herd day: a client reached a restarted gateway before its agent's
+     * response did.
+     */
     @Test
-    void aRequestThatComesBeforeTheAgentHasAnsweredWaitsForTheList() throws Exception {
-        BlockingQueue<StandIn.Exchange> first = World.queue();
+    void requestBeforeTheFirstAgentResponseWaitsForTheList() throws Exception {
+        BlockingQueue<StandIn.Exchange> firstRequests = World.queue();
         try (StandIn draining = World.reader();
                 StandIn started = World.reader();
                 StandIn writer = World.writer();
                 StandIn agent = new StandIn(x -> {
-                    if (x.target.endsWith("wait=0")) first.add(x);
+                    if (x.target.endsWith("wait=0")) firstRequests.add(x);
                     else x.awaitEnd();
                 });
                 World world = new World().engine("r1", "prefill", draining).engine("w", "decode", writer)
                         .discoveredBy(agent)) {
             world.begin();
-            StandIn.Exchange asked = take(first);
-            try (Socket early = world.connect()) {
-                String closing = request("a1", "lookup", "5.0").replaceFirst("\r\n", "\r\nConnection: close\r\n");
-                early.getOutputStream().write(closing.getBytes(StandardCharsets.UTF_8));
-                await("taken", () -> world.gateway.trackedRequests() == 1);
-                asked.reply(200, "{\"seq\":9,\"whole\":false,\"hosts\":[" + host("r1", draining, "terminating") + ","
-                        + host("r2", started, "in_service") + "]}");
-                assertThat(World.readAll(early.getInputStream())).startsWith("HTTP/1.1 200");
+            StandIn.Exchange firstRequest = take(firstRequests);
+            try (Socket client = world.connect()) {
+                String closingRequest = request("a1", "lookup", "5.0").replaceFirst("\r\n",
+                        "\r\nConnection: close\r\n");
+                client.getOutputStream().write(closingRequest.getBytes(StandardCharsets.UTF_8));
+                await("request accepted", () -> world.gateway.trackedRequests() == 1);
+                firstRequest.reply(200,
+                        "{\"seq\":9,\"whole\":false,\"hosts\":[" + host("r1", draining, "terminating") + ","
+                                + host("r2", started, "in_service") + "]}");
+                assertThat(World.readAll(client.getInputStream())).startsWith("HTTP/1.1 200");
             }
             assertThat(draining.count("POST")).isZero();
         }
@@ -218,24 +228,24 @@
                 + "\",\"site\":\"caerdydd\",\"class\":\"prefill\",\"block\":1,\"health\":\"" + health + "\"}";
     }
 
-    /** A new agent that has yet to hear the news would list an engine that drains as ready once more. */
+    /** Guards against a new agent that has not yet received a change and lists a draining engine as ready again. */
     @Test
-    void aListOlderThanOursIsNotBelievedAfterAMove() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+    void olderListIsRejectedAfterASwitchOfAgents() throws Exception {
+        AtomicInteger requestCount = new AtomicInteger();
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 StandIn other = World.writer();
                 World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer, "terminating")
                         .engine("w2", "decode", other);
-                StandIn agent = new StandIn(x -> x.reply(200, asked.incrementAndGet() > 3
+                StandIn agent = new StandIn(x -> x.reply(200, requestCount.incrementAndGet() > 3
                         ? "{\"seq\":9,\"whole\":false,\"hosts\":[]}"
                         : "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"w1\",\"dial\":\"" + writer.address()
                                 + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"in_service\"}]}"));
-                World moved = new World().discoveredBy(agent)) {
+                World otherWorld = new World().discoveredBy(agent)) {
             world.start();
-            await("the first list heard", () -> world.discovery().count("GET /api/targets?index=") > 0);
-            world.gateway.reload(NodeConfig.read(moved.config("127.0.0.1:0"), Map.of()));
-            await("asked again", () -> asked.get() > 4);
+            await("the first list received", () -> world.discovery().count("GET /api/targets?index=") > 0);
+            world.gateway.reload(NodeConfig.read(otherWorld.config("127.0.0.1:0"), Map.of()));
+            await("called again", () -> requestCount.get() > 4);
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
             assertThat(writer.count("POST")).isZero();
         }
--- a/src/test/java/maplerail/net/ConnectionPoolTest.java
+++ b/src/test/java/maplerail/net/ConnectionPoolTest.java
@@ -36,52 +36,52 @@
 
 class ConnectionPoolTest {
     @RegisterExtension
-    private final TestLoop own;
+    private final TestLoop testLoop;
     private final XnioLoop loop;
-    private final BlockingQueue<String> heard = World.queue();
+    private final BlockingQueue<String> events = World.queue();
 
     ConnectionPoolTest() throws Exception {
-        own = new TestLoop();
-        loop = own.loop();
+        testLoop = new TestLoop();
+        loop = testLoop.loop();
     }
 
     private ConnectionPool pool(double connIdleMs) {
         return pool(connIdleMs, 250);
     }
 
-    private ConnectionPool pool(double connIdleMs, double connectMs) {
-        return pool(connIdleMs, connectMs, 50);
+    private ConnectionPool pool(double connIdleMs, double connectTimeoutMs) {
+        return pool(connIdleMs, connectTimeoutMs, 50);
     }
 
-    /** One with room for as many connections as a fast machine opens before the first of them may be used again. */
-    private ConnectionPool roomy() {
+    /** Returns a pool with room for all connections that a fast machine opens before the first may be reused. */
+    private ConnectionPool poolWithManyConnections() {
         return pool(30_000, 250, 2_000);
     }
 
-    private ConnectionPool pool(double connIdleMs, double connectMs, int most) {
-        return own.pool(connIdleMs, connectMs, most);
+    private ConnectionPool pool(double connIdleMs, double connectTimeoutMs, int maxConnections) {
+        return testLoop.pool(connIdleMs, connectTimeoutMs, maxConnections);
     }
 
-    private String post(ConnectionPool pool, InetSocketAddress to) throws Exception {
-        loop.execute(() -> pool.start(to, request(to), "{}".getBytes(), new Heard(heard)));
-        return take(heard);
+    private String post(ConnectionPool pool, InetSocketAddress address) throws Exception {
+        loop.execute(() -> pool.start(address, request(address), "{}".getBytes(), new RecordingHandler(events)));
+        return take(events);
     }
 
-    private record Heard(BlockingQueue<String> by) implements ResponseHandler {
+    private record RecordingHandler(BlockingQueue<String> events) implements ResponseHandler {
         @Override
         public void head(int status, HeaderMap headers) {}
 
         @Override
-        public void body(ByteBuffer piece) {}
+        public void body(ByteBuffer part) {}
 
         @Override
         public void end() {
-            by.add("end");
+            events.add("end");
         }
 
         @Override
         public void failed(Failure failure) {
-            by.add(switch (failure) {
+            events.add(switch (failure) {
                 case LOCAL_FAULT -> "local fault";
                 case NEVER_SENT -> "never sent";
                 case BROKEN -> "may have run";
@@ -89,34 +89,34 @@
         }
     }
 
-    private static io.undertow.client.ClientRequest request(InetSocketAddress to) {
-        io.undertow.client.ClientRequest request = Requests.to(to, Methods.POST, "/");
+    private static io.undertow.client.ClientRequest request(InetSocketAddress address) {
+        io.undertow.client.ClientRequest request = Requests.to(address, Methods.POST, "/");
         request.getRequestHeaders().put(io.undertow.util.Headers.CONTENT_LENGTH, 2);
         return request;
     }
 
     @Test
-    void aConnectionIsUsedAgainAndRetiredLongBeforeTheFarSideWould() throws Exception {
+    void idleConnectionIsReusedAndClosedBeforeTheFarSideClosesIt() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
-            ConnectionPool kept = roomy();
-            // A connection is not used again before it has been quiet for a while.
-            for (int opened = -1; opened != server.connections();) {
-                opened = server.connections();
-                assertThat(post(kept, server.socketAddress())).isEqualTo("end");
+            ConnectionPool pool = poolWithManyConnections();
+            // A connection is not reused before it has been quiet for a while.
+            for (int lastCount = -1; lastCount != server.connections();) {
+                lastCount = server.connections();
+                assertThat(post(pool, server.socketAddress())).isEqualTo("end");
             }
             int before = server.connections();
             assertThat(post(pool(100), server.socketAddress())).isEqualTo("end");
-            await("the new connection retired", () -> server.connections() == before + 1 && server.ended() == 1);
+            await("the new connection closed", () -> server.connections() == before + 1 && server.ended() == 1);
         }
     }
 
     @Test
-    void whatBreaksAfterItsLastByteMayHaveRunAndIsNotSentAgain() throws Exception {
+    void requestIsNotResentIfTheConnectionBreaksAfterItsLastByte() throws Exception {
         try (StandIn server = new StandIn(x -> {
             if (x.number == 0) x.reply(200, "");
             else x.reset();
         })) {
-            ConnectionPool pool = roomy();
+            ConnectionPool pool = poolWithManyConnections();
             int posts = 1;
             while (post(pool, server.socketAddress()).equals("end")) posts++;
             assertThat(posts).isGreaterThan(1);
@@ -125,29 +125,29 @@
         }
     }
 
-    /** The client library would hold the next request back behind the rest of this one. */
+    /** Guards against reuse of a connection on which the next request would be queued behind the rest of this one. */
     @Test
-    void aConnectionOnWhichARequestIsHalfWrittenIsNotUsedAgain() throws Exception {
-        BlockingQueue<String> ends = World.queue();
+    void connectionWithAPartlyWrittenRequestIsNotReused() throws Exception {
+        BlockingQueue<String> results = World.queue();
         try (ServerSocket server = new ServerSocket(0, 9, InetAddress.getByName("127.0.0.1"))) {
-            InetSocketAddress at = (InetSocketAddress) server.getLocalSocketAddress();
+            InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
             ConnectionPool pool = pool(1e12);
             loop.execute(() -> {
-                io.undertow.client.ClientRequest request = Requests.to(at, Methods.POST, "/");
+                io.undertow.client.ClientRequest request = Requests.to(address, Methods.POST, "/");
                 request.getRequestHeaders().put(io.undertow.util.Headers.CONTENT_LENGTH, 32 << 20);
-                pool.start(at, request, new byte[32 << 20], new Heard(ends));
+                pool.start(address, request, new byte[32 << 20], new RecordingHandler(results));
             });
-            try (Socket early = server.accept()) {
-                early.getOutputStream().write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".getBytes());
-                assertThat(take(ends)).isEqualTo("end");
-                World.readAll(early.getInputStream());
+            try (Socket socket = server.accept()) {
+                socket.getOutputStream().write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".getBytes());
+                assertThat(take(results)).isEqualTo("end");
+                World.readAll(socket.getInputStream());
             }
         }
     }
 
-    /** What stands behind an answer must never be taken for the next request's. */
+    /** Guards against taking a surplus response for the response to the next request. */
     @Test
-    void aSecondAnswerRightBehindIsNobodys() throws Exception {
+    void surplusResponseIsNotTakenForTheNextOne() throws Exception {
         try (StandIn server = new StandIn(x -> {
             x.write("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             if (x.number == 0) x.reply(500, "another's");
@@ -155,90 +155,94 @@
             ConnectionPool pool = pool(30_000);
             for (int i = 1; i <= 3; i++) {
                 assertThat(post(pool, server.socketAddress())).isEqualTo("end");
-                int seen = i;
-                await("the connection given up", () -> server.ended() == seen);
+                int closed = i;
+                await("the connection closed", () -> server.ended() == closed);
             }
         }
     }
 
-    /** Engines must leave clients their part of the descriptors. */
+    /** Guards against connections to engines that use up the descriptors needed for clients. */
     @Test
-    void thePoolHoldsNoMoreThanItsPart() throws Exception {
-        BlockingQueue<StandIn.Exchange> waiting = World.queue();
-        try (StandIn server = new StandIn(waiting::add); StandIn other = new StandIn(x -> x.reply(200, ""))) {
+    void poolNeverExceedsItsConnectionLimit() throws Exception {
+        BlockingQueue<StandIn.Exchange> exchanges = World.queue();
+        try (StandIn server = new StandIn(exchanges::add); StandIn other = new StandIn(x -> x.reply(200, ""))) {
             ConnectionPool pool = pool(30_000);
             assertThat(post(pool, other.socketAddress())).isEqualTo("end");
             for (int i = 0; i < 50; i++) {
                 loop.execute(() -> pool.start(server.socketAddress(), request(server.socketAddress()), new byte[2],
-                        new Heard(heard)));
-                take(waiting);
+                        new RecordingHandler(events)));
+                take(exchanges);
             }
-            await("the idle one made room", () -> other.ended() == 1);
+            await("the idle connection closed", () -> other.ended() == 1);
             assertThat(post(pool, other.socketAddress())).isEqualTo("never sent");
         }
     }
 
-    /** Attempts at engines that hang must not hide what discovery tells, nor keep states pinned. */
+    /** Guards against hanging attempts that block discovery updates and releases of states. */
     @Test
-    void aWatchAndAReleaseFindRoomThoughThePoolIsFull() throws Exception {
-        BlockingQueue<StandIn.Exchange> waiting = World.queue();
-        try (StandIn hanging = new StandIn(x -> {
+    void watchAndReleaseGetConnectionsFromAFullPool() throws Exception {
+        BlockingQueue<StandIn.Exchange> exchanges = World.queue();
+        try (StandIn engineServer = new StandIn(x -> {
             if (x.method.equals("DELETE")) x.reply(204, "");
-            else waiting.add(x);
+            else exchanges.add(x);
         }); StandIn agent = new StandIn(x -> x.reply(200, ""))) {
             ConnectionPool pool = pool(30_000);
-            InetSocketAddress engine = hanging.socketAddress();
+            InetSocketAddress engine = engineServer.socketAddress();
             for (int i = 0; i < 50; i++) {
-                loop.execute(() -> pool.start(engine, request(engine), new byte[2], new Heard(heard)));
-                take(waiting);
+                loop.execute(() -> pool.start(engine, request(engine), new byte[2], new RecordingHandler(events)));
+                take(exchanges);
             }
             InetSocketAddress discovery = agent.socketAddress();
             loop.execute(() -> pool.start(discovery, Requests.to(discovery, Methods.GET, "/"), new byte[0],
-                    new Heard(heard)));
-            assertThat(take(heard)).isEqualTo("end");
+                    new RecordingHandler(events)));
+            assertThat(take(events)).isEqualTo("end");
             loop.execute(() -> pool.start(engine, Requests.to(engine, Methods.DELETE, "/"), new byte[0],
-                    new Heard(heard)));
-            assertThat(take(heard)).isEqualTo("end");
+                    new RecordingHandler(events)));
+            assertThat(take(events)).isEqualTo("end");
         }
     }
 
-    /** Or what it lets go would count as pinned by the time that a crowd of reads has been served. */
+    /** Guards against a release that waits behind a burst of reads until its state exceeds the pin limit. */
     @Test
-    void aReleaseGoesBeforeTheCallsThatWait() throws Exception {
+    void releaseIsSentBeforeQueuedCalls() throws Exception {
         CountDownLatch released = new CountDownLatch(1);
         try (StandIn server = new StandIn(x -> {
-            // Reads hold their connections until the release has come: behind them it would never have one.
+            // Reads hold their connections until the release has arrived, so a release queued behind them would never
+            // get one.
             if (x.method.equals("DELETE")) released.countDown();
             else released.await();
             x.reply(200, "");
         })) {
             ConnectionPool pool = pool(30_000, 20_000);
-            InetSocketAddress to = server.socketAddress();
+            InetSocketAddress address = server.socketAddress();
             loop.execute(() -> {
-                for (int i = 0; i < 60; i++) pool.start(to, request(to), new byte[2], new Heard(heard));
-                pool.start(to, Requests.to(to, Methods.DELETE, "/"), new byte[0], new Heard(heard));
+                for (int i = 0; i < 60; i++)
+                    pool.start(address, request(address), new byte[2], new RecordingHandler(events));
+                pool.start(address, Requests.to(address, Methods.DELETE, "/"), new byte[0],
+                        new RecordingHandler(events));
             });
-            for (int i = 0; i < 61; i++) assertThat(take(heard)).isEqualTo("end");
+            for (int i = 0; i < 61; i++) assertThat(take(events)).isEqualTo("end");
         }
     }
 
-    /** A crowd that comes at once waits for connections rather than failing on its own number. */
+    /** Guards against a burst of requests that fails on the limit on connections being established. */
     @Test
-    void moreCallsThanMayConnectWaitForTheirTurn() throws Exception {
+    void callsAboveTheConnectLimitAreQueued() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
             ConnectionPool pool = pool(30_000);
             loop.execute(() -> {
                 for (int i = 0; i < 100; i++) {
-                    pool.start(server.socketAddress(), request(server.socketAddress()), new byte[2], new Heard(heard));
+                    pool.start(server.socketAddress(), request(server.socketAddress()), new byte[2],
+                            new RecordingHandler(events));
                 }
             });
-            for (int i = 0; i < 100; i++) assertThat(take(heard)).isEqualTo("end");
+            for (int i = 0; i < 100; i++) assertThat(take(events)).isEqualTo("end");
         }
     }
 
-    /** The request has run, and what its engine holds for it must be let go in time. */
+    /** The request has run, so the state that its engine holds for it must be released in time. */
     @Test
-    void anAnswerWhoseHeadDoesNotEndIsGivenUpWithinTheTimeForAPiece() throws Exception {
+    void responseWithAnIncompleteHeadTimesOut() throws Exception {
         try (StandIn server = new StandIn(x -> {
             x.write("HTTP/1.1 202 Accepted\r\nContent-");
             x.awaitEnd();
@@ -249,159 +253,168 @@
         }
     }
 
-    /** After a pause of the whole program, as for a start, timers are due before connections are seen to have come up. */
+    /** After the whole process was suspended, timers are due before established connections are reported. */
     @Test
-    void aConnectionThatCameUpWhileTheLoopStoodStillIsUsed() throws Exception {
+    void connectionEstablishedDuringALoopStallIsUsed() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
             ConnectionPool pool = pool(30_000, 100);
             loop.execute(() -> {
-                pool.start(server.socketAddress(), request(server.socketAddress()), new byte[2], new Heard(heard));
-                double stoppedMs = loop.nowMs();
-                while (loop.nowMs() < stoppedMs + 300) Thread.onSpinWait();
+                pool.start(server.socketAddress(), request(server.socketAddress()), new byte[2],
+                        new RecordingHandler(events));
+                double stalledMs = loop.nowMs();
+                while (loop.nowMs() < stalledMs + 300) Thread.onSpinWait();
             });
-            assertThat(take(heard)).isEqualTo("end");
+            assertThat(take(events)).isEqualTo("end");
         }
     }
 
-    /** News that its engine drains, or its client's close, may lie unread. */
+    /** A notice that the engine drains, or the client's disconnect, may have arrived and not been read yet. */
     @Test
-    void anAttemptThatBeginsWhileTheLoopIsBehindAsksOnceAllThatHasComeIsRead() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch tell = new CountDownLatch(1);
+    void attemptOnADelayedLoopAsksAfterPendingInputIsRead() throws Exception {
+        CountDownLatch requested = new CountDownLatch(1);
+        CountDownLatch mayRespond = new CountDownLatch(1);
         try (StandIn server = new StandIn(x -> x.reply(200, ""));
-                StandIn news = new StandIn(x -> {
-                    asked.countDown();
-                    tell.await();
+                StandIn agent = new StandIn(x -> {
+                    requested.countDown();
+                    mayRespond.await();
                     x.reply(200, "");
                 })) {
             ConnectionPool pool = pool(30_000);
             assertThat(post(pool, server.socketAddress())).as("there is a kept connection").isEqualTo("end");
-            InetSocketAddress from = news.socketAddress();
-            loop.execute(() -> pool.start(from, Requests.to(from, Methods.GET, "/"), new byte[0], new Heard(heard)));
-            asked.await();
+            InetSocketAddress agentAddress = agent.socketAddress();
+            loop.execute(() -> pool.start(agentAddress, Requests.to(agentAddress, Methods.GET, "/"), new byte[0],
+                    new RecordingHandler(events)));
+            requested.await();
             loop.execute(() -> {
-                tell.countDown();
-                double stoppedMs = loop.nowMs();
-                while (loop.nowMs() < stoppedMs + 300) Thread.onSpinWait();
-                InetSocketAddress to = server.socketAddress();
-                pool.start(to, () -> request(to), "{}".getBytes(), () -> heard.add("asked"), new Heard(heard));
+                mayRespond.countDown();
+                double stalledMs = loop.nowMs();
+                while (loop.nowMs() < stalledMs + 300) Thread.onSpinWait();
+                InetSocketAddress address = server.socketAddress();
+                pool.start(address, () -> request(address), "{}".getBytes(), () -> events.add("asked"),
+                        new RecordingHandler(events));
             });
-            assertThat(take(heard)).as("the news").isEqualTo("end");
-            assertThat(take(heard)).isEqualTo("asked");
-            assertThat(take(heard)).isEqualTo("end");
+            assertThat(take(events)).as("the response of the agent").isEqualTo("end");
+            assertThat(take(events)).isEqualTo("asked");
+            assertThat(take(events)).isEqualTo("end");
         }
     }
 
-    /** A connection that comes up too late is kept for others; what gave up on it is not written. */
+    /**
+     * A connection established after the timeout is kept for other calls, and the call that timed out is not written to
+     * it.
+     */
     @Test
-    void whatWaitedTooLongForItsConnectionIsNeverWritten() throws Exception {
-        List<Socket> before = new ArrayList<>();
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            InetSocketAddress at = (InetSocketAddress) full.getLocalSocketAddress();
-            // With its backlog full, the machine answers no further connection until one is accepted.
-            for (int i = 0; i < 2; i++) before.add(new Socket(at.getAddress(), at.getPort()));
-            assertThat(post(pool(30_000, 100), at)).isEqualTo("never sent");
-            for (int i = 0; i < 2; i++) full.accept().close();
-            full.setSoTimeout(2_000);
-            try (Socket late = full.accept()) {
-                assertThat(World.readAll(late.getInputStream())).isIn("", "<reset>");
+    void requestIsNotWrittenAfterItsConnectTimeout() throws Exception {
+        List<Socket> pendingSockets = new ArrayList<>();
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
+            // While its backlog is full, the operating system completes no further connection until one is accepted.
+            for (int i = 0; i < 2; i++) pendingSockets.add(new Socket(address.getAddress(), address.getPort()));
+            assertThat(post(pool(30_000, 100), address)).isEqualTo("never sent");
+            for (int i = 0; i < 2; i++) server.accept().close();
+            server.setSoTimeout(2_000);
+            try (Socket accepted = server.accept()) {
+                assertThat(World.readAll(accepted.getInputStream())).isIn("", "<reset>");
             } catch (SocketTimeoutException e) {
-                assertThat(before).as("the connection was called off before it came up").hasSize(2);
+                assertThat(pendingSockets).as("the connection was cancelled before it was established").hasSize(2);
             }
         } finally {
-            for (Socket socket : before) socket.close();
+            for (Socket socket : pendingSockets) socket.close();
         }
     }
 
     @Test
-    void aConnectionThatIsRefusedProvesThatNothingWasSent() throws Exception {
-        // Bound and not listening: nobody else can take the port, as could happen to one that was closed.
+    void refusedConnectionProvesThatNothingWasSent() throws Exception {
+        // Bound but not listening, so that no other process can take the port, as could happen to one that was closed.
         try (Socket bound = new Socket()) {
             bound.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-            InetSocketAddress at = (InetSocketAddress) bound.getLocalSocketAddress();
-            assertThat(post(pool(30_000), at)).isEqualTo("never sent");
+            InetSocketAddress address = (InetSocketAddress) bound.getLocalSocketAddress();
+            assertThat(post(pool(30_000), address)).isEqualTo("never sent");
         }
     }
 
-    /** Fails the first so many connections as the system says it; the later ones are made. */
-    private void failFirst(ConnectionPool pool, int count, Supplier<IOException> error) {
-        AtomicInteger made = new AtomicInteger();
-        pool.connectBy(to -> made.getAndIncrement() < count ? new FailedIoFuture<>(error.get())
-                : loop.thread().openStreamConnection(to, null, OptionMap.EMPTY));
+    /** Fails the first connection attempts with an error of the operating system; later ones succeed. */
+    private void failConnects(ConnectionPool pool, int count, Supplier<IOException> error) {
+        AtomicInteger attempts = new AtomicInteger();
+        pool.setConnector(address -> attempts.getAndIncrement() < count ? new FailedIoFuture<>(error.get())
+                : loop.thread().openStreamConnection(address, null, OptionMap.EMPTY));
     }
 
-    private static Stream<IOException> faultsOfThisMachine() {
+    private static Stream<IOException> localFaults() {
         return Stream.of(new SocketException("Too many open files"), new SocketException("No buffer space available"),
                 new SocketException("Network is unreachable"), new BindException("Cannot assign requested address"));
     }
 
     @ParameterizedTest
-    @MethodSource("faultsOfThisMachine")
-    void aFaultOfThisMachineThatPassesCostsNothing(IOException fault) throws Exception {
+    @MethodSource("localFaults")
+    void transientLocalFaultIsRetried(IOException fault) throws Exception {
         try (StandIn server = World.reader()) {
             ConnectionPool pool = pool(30_000, 2_000);
-            failFirst(pool, 3, () -> fault);
+            failConnects(pool, 3, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("end");
             assertThat(server.count("POST")).isEqualTo(1);
         }
     }
 
     @ParameterizedTest
-    @MethodSource("faultsOfThisMachine")
-    void aFaultOfThisMachineThatLastsIsNotPutDownToTheFarSide(IOException fault) throws Exception {
+    @MethodSource("localFaults")
+    void lastingLocalFaultIsNotAttributedToTheFarSide(IOException fault) throws Exception {
         try (StandIn server = World.reader()) {
             ConnectionPool pool = pool(30_000, 150);
-            failFirst(pool, Integer.MAX_VALUE, () -> fault);
+            failConnects(pool, Integer.MAX_VALUE, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("local fault");
-            assertThat(pool.open()).isZero();
+            assertThat(pool.connectionCount()).isZero();
         }
     }
 
-    private static Stream<IOException> faultsOfTheFarSide() {
+    private static Stream<IOException> remoteFaults() {
         return Stream.of(new ConnectException("Connection refused"), new NoRouteToHostException("No route to host"),
                 new SocketException("Connection reset"));
     }
 
     @ParameterizedTest
-    @MethodSource("faultsOfTheFarSide")
-    void whatTheFarSideRefusesIsToldAtOnce(IOException fault) throws Exception {
+    @MethodSource("remoteFaults")
+    void remoteFaultIsReportedAtOnce(IOException fault) throws Exception {
         try (StandIn server = World.reader()) {
             ConnectionPool pool = pool(30_000, 20_000);
-            failFirst(pool, Integer.MAX_VALUE, () -> fault);
+            failConnects(pool, Integer.MAX_VALUE, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("never sent");
         }
     }
 
-    /** After a partition the system would go on sending what it still holds, though the request went on elsewhere. */
+    /**
+     * Guards against data that the operating system sends after a network partition, although the request was sent
+     * elsewhere.
+     */
     @Test
-    void whatWasGivenUpBeforeItArrivedDoesNotArriveLater() throws Exception {
+    void abortedRequestIsNotDeliveredLater() throws Exception {
         byte[] body = new byte[400_000];
         try (ServerSocket server = new ServerSocket()) {
             server.setReceiveBufferSize(4_096);
             server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-            InetSocketAddress at = (InetSocketAddress) server.getLocalSocketAddress();
+            InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
             ConnectionPool pool = pool(30_000);
             CountDownLatch started = new CountDownLatch(1);
             AtomicReference<Call> call = new AtomicReference<>();
             loop.execute(() -> {
-                call.set(pool.start(at, request(at), body, new Heard(heard)));
+                call.set(pool.start(address, request(address), body, new RecordingHandler(events)));
                 started.countDown();
             });
             started.await();
             try (Socket accepted = server.accept()) {
-                await("written whole", () -> call.get().trace().matches("written (\\d+) of \\1 .*"));
+                await("written in full", () -> call.get().trace().matches("written (\\d+) of \\1 .*"));
                 loop.execute(() -> call.get().abort());
-                await("ended", () -> pool.open() == 0);
-                int arrived = 0;
+                await("ended", () -> pool.connectionCount() == 0);
+                int receivedBytes = 0;
                 try {
                     for (int count = accepted.getInputStream().read(body); count >= 0;) {
-                        arrived += count;
+                        receivedBytes += count;
                         count = accepted.getInputStream().read(body);
                     }
                 } catch (SocketException e) {
                     assertThat(e).hasMessageContaining("reset");
                 }
-                assertThat(arrived).isLessThan(body.length);
+                assertThat(receivedBytes).isLessThan(body.length);
             }
         }
     }
--- a/src/test/java/maplerail/net/EngineClientTest.java
+++ b/src/test/java/maplerail/net/EngineClientTest.java
@@ -16,23 +16,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Attempts and releases over real sockets. */
+/** Tests attempts and releases over real sockets. */
 class EngineClientTest {
     private static final long ENGINE = 7;
     private static final double CONNECT_TIMEOUT_MS = 20_000;
 
     @RegisterExtension
-    private final TestLoop own;
+    private final TestLoop testLoop;
     private final XnioLoop loop;
-    private final BlockingQueue<String> heard = World.queue();
+    private final BlockingQueue<String> outcomes = World.queue();
 
     EngineClientTest() throws Exception {
-        own = new TestLoop();
-        loop = own.loop();
+        testLoop = new TestLoop();
+        loop = testLoop.loop();
     }
 
     private EngineClient client(StandIn engine, int connections) {
-        ConnectionPool pool = own.pool(30_000, CONNECT_TIMEOUT_MS, connections);
+        ConnectionPool pool = testLoop.pool(30_000, CONNECT_TIMEOUT_MS, connections);
         EngineClient client = new EngineClient(pool);
         client.addAddresses(Map.of(ENGINE, engine.socketAddress()));
         return client;
@@ -43,43 +43,46 @@
         return new ServiceRequest(id, 0, 0, 0, 10, 0, 0, 10_000, 10, 0, false, 0, payload);
     }
 
-    private final class Heard implements EngineTransport.AnswerListener {
+    private final class RecordingAnswer implements EngineTransport.AnswerListener {
         @Override
         public void event(byte[] event) {}
 
         @Override
         public void rejected() {
-            heard.add("unfit");
+            outcomes.add("rejected");
         }
 
         @Override
-        public void ended(Outcome outcome, double kept) {
-            heard.add(outcome.name());
+        public void ended(Outcome outcome, double cachedTokens) {
+            outcomes.add(outcome.name());
         }
     }
 
-    /** An attempt may wait for a connection; what it tells its engine is what the client has left by then. */
+    /**
+     * An attempt may wait for a connection; the deadline sent to its engine is the time that the client has left by
+     * then.
+     */
     @Test
-    void theDeadlineThatIsToldIsTheTimeLeftWhenTheRequestIsWritten() throws Exception {
-        BlockingQueue<StandIn.Exchange> asked = World.queue();
-        try (StandIn engine = new StandIn(asked::add)) {
+    void deadlineHeaderIsTheTimeLeftWhenTheRequestIsWritten() throws Exception {
+        BlockingQueue<StandIn.Exchange> requests = World.queue();
+        try (StandIn engine = new StandIn(requests::add)) {
             EngineClient client = client(engine, 1);
             double startMs = loop.nowMs();
-            double untilMs = startMs + 60_000;
-            loop.execute(() -> client.send(ENGINE, request("first"), untilMs, () -> true, new Heard()));
-            StandIn.Exchange first = take(asked);
-            loop.execute(() -> client.send(ENGINE, request("second"), untilMs, () -> true, new Heard()));
+            double deadlineMs = startMs + 60_000;
+            loop.execute(() -> client.send(ENGINE, request("first"), deadlineMs, () -> true, new RecordingAnswer()));
+            StandIn.Exchange first = take(requests);
+            loop.execute(() -> client.send(ENGINE, request("second"), deadlineMs, () -> true, new RecordingAnswer()));
             await("time has passed", () -> loop.nowMs() >= startMs + 400);
             double writtenAfterMs = loop.nowMs();
             first.reply(202, "");
-            double toldSeconds = Double.parseDouble(take(asked).headers.get("req-deadline"));
-            assertThat(toldSeconds).isLessThanOrEqualTo((untilMs - writtenAfterMs) / 1_000 + 0.001);
+            double deadlineSeconds = Double.parseDouble(take(requests).headers.get("req-deadline"));
+            assertThat(deadlineSeconds).isLessThanOrEqualTo((deadlineMs - writtenAfterMs) / 1_000 + 0.001);
         }
     }
 
-    /** The state that it lets go counts as held until it arrives, and a kept connection may be silent. */
+    /** The state counts as held until the release arrives, and an idle connection may no longer respond. */
     @Test
-    void aReleaseThatAKeptConnectionSwallowsGoesOutAgainAtOnceOnANewOne() throws Exception {
+    void releaseLostOnAnIdleConnectionIsRetriedSoonOnANewOne() throws Exception {
         BlockingQueue<StandIn.Exchange> reads = World.queue();
         BlockingQueue<Double> releasedMs = World.queue();
         BlockingQueue<EngineTransport.ReleaseResult> results = World.queue();
@@ -90,13 +93,14 @@
                 releasedMs.add(loop.nowMs());
                 exchange.reply(204, "");
             } else {
-                exchange.awaitEnd(); // as on a connection on which nothing passes any more
+                exchange.awaitEnd(); // like a connection on which nothing is delivered any more
             }
         })) {
             EngineClient client = client(engine, 4);
-            loop.execute(() -> client.send(ENGINE, request("a"), loop.nowMs() + 60_000, () -> true, new Heard()));
+            loop.execute(
+                    () -> client.send(ENGINE, request("a"), loop.nowMs() + 60_000, () -> true, new RecordingAnswer()));
             take(reads).reply(202, "");
-            assertThat(take(heard)).isEqualTo("READ");
+            assertThat(take(outcomes)).isEqualTo("READ");
             double readEndedMs = loop.nowMs();
             await("settled", () -> loop.nowMs() > readEndedMs + 100);
             double startMs = loop.nowMs();
@@ -109,7 +113,7 @@
     }
 
     @Test
-    void aReleaseThatIsNeverAnsweredIsGivenUpAtItsTime() throws Exception {
+    void unansweredReleaseEndsAtItsDeadline() throws Exception {
         BlockingQueue<EngineTransport.ReleaseResult> results = World.queue();
         try (StandIn engine = new StandIn(StandIn.Exchange::awaitEnd)) {
             EngineClient client = client(engine, 4);
--- a/src/test/java/maplerail/net/ResponseParserTest.java
+++ b/src/test/java/maplerail/net/ResponseParserTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ResponseParserTest {
-    private static final class Heard implements ResponseHandler {
+    private static final class Recorder implements ResponseHandler {
         private final StringBuilder text = new StringBuilder();
 
         @Override
@@ -20,8 +20,8 @@
         }
 
         @Override
-        public void body(ByteBuffer piece) {
-            text.append(StandardCharsets.ISO_8859_1.decode(piece));
+        public void body(ByteBuffer part) {
+            text.append(StandardCharsets.ISO_8859_1.decode(part));
         }
 
         @Override
@@ -31,26 +31,26 @@
         public void failed(Failure failure) {}
     }
 
-    /** What is heard of an answer fed in pieces, and how it stands then. */
-    private static String feed(String answer, int piece) {
-        Heard heard = new Heard();
-        ResponseParser reader = new ResponseParser(heard);
-        byte[] bytes = answer.replace('~', '\r').replace('^', '\n').getBytes(StandardCharsets.ISO_8859_1);
+    /** Feeds a response in parts and returns what the handler received, followed by the state of the parser. */
+    private static String feed(String response, int partLength) {
+        Recorder recorder = new Recorder();
+        ResponseParser parser = new ResponseParser(recorder);
+        byte[] bytes = response.replace('~', '\r').replace('^', '\n').getBytes(StandardCharsets.ISO_8859_1);
         int surplus = 0;
         try {
-            for (int i = 0; i < bytes.length; i += piece) {
-                ByteBuffer next = ByteBuffer.wrap(bytes, i, Math.min(piece, bytes.length - i));
-                reader.feed(next);
+            for (int i = 0; i < bytes.length; i += partLength) {
+                ByteBuffer next = ByteBuffer.wrap(bytes, i, Math.min(partLength, bytes.length - i));
+                parser.feed(next);
                 surplus += next.remaining();
             }
         } catch (IOException e) {
-            return heard.text + " spoilt";
+            return recorder.text + " spoilt";
         }
-        return heard.text + (reader.done() ? " done" : reader.within() ? " within" : " open")
-                + (surplus > 0 ? " and more" : "") + (reader.keepAlive() ? "" : " last");
+        return recorder.text + (parser.done() ? " done" : parser.incomplete() ? " within" : " open")
+                + (surplus > 0 ? " and more" : "") + (parser.keepAlive() ? "" : " last");
     }
 
-    /** Each answer, fed whole and byte by byte; ~ and ^ stand for the line's end. */
+    /** Feeds each response whole and byte by byte; ~ stands for a carriage return and ^ for a line feed. */
     @ParameterizedTest
     @CsvSource(delimiter = '!', textBlock = """
             HTTP/1.1 200 OK~^Content-Length: 3~^~^abc                          ! 200:abc done
@@ -85,13 +85,13 @@
             noise^                                                             ! ' spoilt'
             noise                                                              ! ' within last'
             """)
-    void anAnswerIsWholeOpenOrSpoilt(String answer, String heard) {
-        assertThat(feed(answer, Integer.MAX_VALUE / 2)).isEqualTo(heard);
-        assertThat(feed(answer, 1)).isEqualTo(heard);
+    void responsesAreParsedOrRejected(String response, String expected) {
+        assertThat(feed(response, Integer.MAX_VALUE / 2)).isEqualTo(expected);
+        assertThat(feed(response, 1)).isEqualTo(expected);
     }
 
     @Test
-    void headsWithoutEndAreSpoilt() {
+    void headsWithoutEndAreRejected() {
         assertThat(feed("HTTP/1.1 200 OK~^" + "A: b~^".repeat(4_000), 512)).isEqualTo(" spoilt");
         assertThat(feed("HTTP/1.1 200 " + "x".repeat(20_000), 512)).isEqualTo(" spoilt");
         assertThat(feed("HTTP/1.1 100 Go~^~^".repeat(30), 512)).isEqualTo(" spoilt");
