--- a/src/test/java/maplerail/net/SlowResponseTest.java
+++ b/src/test/java/maplerail/net/SlowResponseTest.java
@@ -21,12 +21,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Answers that come slowly and are sound, and those that stop, on a site whose states may be held for 250 ms. */
+/** Tests valid responses that arrive slowly, and responses that stop, with a pin limit of 250 ms. */
 class SlowResponseTest {
     private static final double PIN_LIMIT_MS = 250;
-    /** What the rules on sockets add to the pin limit. */
-    private static final double SLACK_MS = 300;
-    private static final int MOST_HEAD = 16 * 1024; // bytes
+    /** Time that the socket rules add to the pin limit. */
+    private static final double SOCKET_SLACK_MS = 300;
+    /** Limit of the parser on the size of a head. */
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
     private static final String STREAM = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n";
     private static final String READ = "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}";
@@ -35,51 +36,51 @@
     private static final String END = "0\r\n\r\n";
 
     @RegisterExtension
-    private final TestLoop own;
+    private final TestLoop testLoop;
     private final XnioLoop loop;
-    private final BlockingQueue<String> heard = World.queue();
-    private final StringBuilder came = new StringBuilder();
+    private final BlockingQueue<String> results = World.queue();
+    private final StringBuilder received = new StringBuilder();
 
     SlowResponseTest() throws Exception {
-        own = new TestLoop();
-        loop = own.loop();
+        testLoop = new TestLoop();
+        loop = testLoop.loop();
     }
 
-    private final class Heard implements ResponseHandler {
+    private final class RecordingHandler implements ResponseHandler {
         @Override
         public void head(int status, HeaderMap headers) {
-            came.append(status).append(' ');
+            received.append(status).append(' ');
         }
 
         @Override
-        public void body(ByteBuffer piece) {
-            came.append(StandardCharsets.UTF_8.decode(piece));
+        public void body(ByteBuffer part) {
+            received.append(StandardCharsets.UTF_8.decode(part));
         }
 
         @Override
         public void end() {
-            heard.add(came + "end");
+            results.add(received + "end");
         }
 
         @Override
         public void failed(Failure failure) {
-            heard.add(came + "" + failure);
+            results.add(received + "" + failure);
         }
     }
 
-    /** What is heard of a call, up to its end. */
+    /** Makes a call and returns what its handler received, followed by how it ended. */
     private String call(StandIn server) throws Exception {
-        ConnectionPool pool = own.pool(30_000, 20_000, 50);
-        InetSocketAddress to = server.socketAddress();
-        ClientRequest request = Requests.to(to, Methods.POST, "/");
+        ConnectionPool pool = testLoop.pool(30_000, 20_000, 50);
+        InetSocketAddress address = server.socketAddress();
+        ClientRequest request = Requests.to(address, Methods.POST, "/");
         request.getRequestHeaders().put(Headers.CONTENT_LENGTH, 2);
-        loop.execute(() -> pool.start(to, request, "{}".getBytes(StandardCharsets.UTF_8), new Heard()));
-        return take(heard);
+        loop.execute(() -> pool.start(address, request, "{}".getBytes(StandardCharsets.UTF_8), new RecordingHandler()));
+        return take(results);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {300, 1_200})
-    void aReadersAnswerThatComesAByteAtATimeIsWhole(int spanMs) throws Exception {
+    void readerResponseArrivingByteByByteIsComplete(int spanMs) throws Exception {
         try (StandIn reader = new StandIn(x -> x.drip(READ, spanMs))) {
             assertThat(call(reader)).isEqualTo("202 {}end");
         }
@@ -87,7 +88,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {300, 1_200})
-    void aStreamWhoseHeadComesAByteAtATimeIsWhole(int spanMs) throws Exception {
+    void streamWithAHeadArrivingByteByByteIsComplete(int spanMs) throws Exception {
         try (StandIn writer = new StandIn(x -> {
             x.drip(STREAM, spanMs);
             x.write(CHUNK + END);
@@ -98,7 +99,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {300, 1_200})
-    void aChunkThatComesAByteAtATimeIsWhole(int spanMs) throws Exception {
+    void chunkArrivingByteByByteIsComplete(int spanMs) throws Exception {
         try (StandIn writer = new StandIn(x -> {
             x.write(STREAM);
             x.drip(CHUNK, spanMs);
@@ -108,15 +109,18 @@
         }
     }
 
-    /** In the line of its size, in its middle, in front of the line that ends it, and in the last chunk of all. */
+    /**
+     * Pauses within the line of the chunk size, within the data, before the terminating line, and within the last
+     * chunk.
+     */
     @ParameterizedTest
     @CsvSource({"1,400", "20,400", "-2,400", "-1,400", "20,2000"})
-    void aChunkThatPausesAndGoesOnIsWhole(int at, int pauseMs) throws Exception {
-        int cut = at < 0 ? CHUNK.length() + at : at;
+    void chunkThatPausesIsComplete(int position, int pauseMs) throws Exception {
+        int split = position < 0 ? CHUNK.length() + position : position;
         try (StandIn writer = new StandIn(x -> {
-            x.write(STREAM + CHUNK.substring(0, cut));
+            x.write(STREAM + CHUNK.substring(0, split));
             TimeUnit.MILLISECONDS.sleep(pauseMs);
-            x.write(CHUNK.substring(cut) + "0\r");
+            x.write(CHUNK.substring(split) + "0\r");
             TimeUnit.MILLISECONDS.sleep(pauseMs);
             x.write("\n\r\n");
         })) {
@@ -124,10 +128,10 @@
         }
     }
 
-    /** It says that the engine is at work; for how long that takes it does not say. */
+    /** An interim response says that the engine is working, but not for how long. */
     @ParameterizedTest
     @ValueSource(ints = {300, 1_200})
-    void anAnswerLongAfterOneInFrontIsWhole(int afterMs) throws Exception {
+    void responseLongAfterAnInterimResponseIsComplete(int afterMs) throws Exception {
         try (StandIn reader = new StandIn(x -> {
             x.write("HTTP/1.1 102 Processing\r\n\r\n");
             TimeUnit.MILLISECONDS.sleep(afterMs);
@@ -137,24 +141,26 @@
         }
     }
 
-    /** Its request has run, and what its engine holds for it is owed a release within the pin limit. */
+    /** The request has run, so the state that its engine holds must be released within the pin limit. */
     @ParameterizedTest
     @ValueSource(strings = {"H", "HTTP/1.1 202 Accepted\r\n", "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n",
             "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Acc"})
-    void aHeadThatFallsSilentIsBrokenInTimeForARelease(String begun) throws Exception {
+    void silentPartialHeadFailsInTimeForARelease(String partialHead) throws Exception {
         try (StandIn reader = new StandIn(x -> {
-            x.write(begun);
+            x.write(partialHead);
             x.awaitEnd();
         })) {
             double startMs = loop.nowMs();
             assertThat(call(reader)).isEqualTo("BROKEN");
-            assertThat(loop.nowMs() - startMs).isLessThan(PIN_LIMIT_MS + SLACK_MS);
+            assertThat(loop.nowMs() - startMs).isLessThan(PIN_LIMIT_MS + SOCKET_SLACK_MS);
         }
     }
 
-    /** However slowly: bytes that go on coming put off the limit on silence, but not the one on its length. */
+    /**
+     * Bytes that keep arriving, however slowly, extend the limit on silence but not the limit on the size of the head.
+     */
     @Test
-    void aHeadThatDoesNotEndIsBrokenAtItsLongest() throws Exception {
+    void headWithoutEndFailsAtItsSizeLimit() throws Exception {
         AtomicInteger sent = new AtomicInteger();
         try (StandIn reader = new StandIn(x -> {
             String line = "X-Noise: " + "n".repeat(245) + "\r\n";
@@ -166,7 +172,7 @@
             }
         })) {
             assertThat(call(reader)).isEqualTo("BROKEN");
-            assertThat(sent.get()).isLessThan(2 * MOST_HEAD);
+            assertThat(sent.get()).isLessThan(2 * MAX_HEAD_BYTES);
         }
     }
 }
--- a/src/test/java/maplerail/net/TestLoop.java
+++ b/src/test/java/maplerail/net/TestLoop.java
@@ -9,7 +9,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A test's own event loop on a real thread, which ends with the test. */
+/** An event loop on a real I/O thread for one test, shut down when the test ends. */
 final class TestLoop implements AfterEachCallback {
     private static final int BUFFER_BYTES = 8_192;
 
@@ -25,10 +25,10 @@
         return loop;
     }
 
-    /** A pool on the loop of at most so many connections. */
-    ConnectionPool pool(double connIdleMs, double connectTimeoutMs, int most) {
+    /** Returns a pool on the loop with a limit on its connections. */
+    ConnectionPool pool(double connIdleMs, double connectTimeoutMs, int maxConnections) {
         return new ConnectionPool(loop, new DefaultByteBufferPool(true, BUFFER_BYTES), connIdleMs, connectTimeoutMs,
-                most);
+                maxConnections);
     }
 
     @Override
--- a/src/test/java/maplerail/net/XnioLoopTest.java
+++ b/src/test/java/maplerail/net/XnioLoopTest.java
@@ -7,56 +7,57 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Guards against a loop that no longer knows what it has read, which would take every request for an old one. */
+/** Guards against a loop that loses track of which input it has read, which would take every request for an old one. */
 class XnioLoopTest {
-    private static final double STOOD_STILL_MS = 200;
+    private static final double STALL_MS = 200;
 
     @RegisterExtension
-    private final TestLoop own;
+    private final TestLoop testLoop;
     private final XnioLoop loop;
-    private final BlockingQueue<String> heard = World.queue();
+    private final BlockingQueue<String> events = World.queue();
 
     XnioLoopTest() throws Exception {
-        own = new TestLoop();
-        loop = own.loop();
+        testLoop = new TestLoop();
+        loop = testLoop.loop();
     }
 
     @Test
-    void aTaskThatFailsKeepsNoOtherFromRunning() throws Exception {
+    void failingTaskDoesNotPreventOthersFromRunning() throws Exception {
         loop.execute(() -> {
             loop.runAfterInput(() -> {
-                throw new IllegalStateException("a task of a test that fails on purpose");
+                throw new IllegalStateException("deliberate failure of a test task");
             });
-            loop.runAfterInput(() -> heard.add("ran"));
+            loop.runAfterInput(() -> events.add("ran"));
         });
-        assertThat(World.take(heard)).isEqualTo("ran");
+        assertThat(World.take(events)).isEqualTo("ran");
         double beforeMs = loop.nowMs();
-        World.await("it still looks", () -> loop.inputArrivedAfterMs() > beforeMs);
+        World.await("input checks go on", () -> loop.inputArrivedAfterMs() > beforeMs);
     }
 
     @Test
-    void aTaskThatWasCalledOffDoesNotRun() throws Exception {
+    void cancelledTaskDoesNotRun() throws Exception {
         loop.execute(() -> {
-            loop.runAfterInput(() -> heard.add("called off")).cancel();
-            loop.runAfterInput(() -> heard.add("ran"));
+            loop.runAfterInput(() -> events.add("cancelled")).cancel();
+            loop.runAfterInput(() -> events.add("ran"));
         });
-        assertThat(World.take(heard)).isEqualTo("ran");
+        assertThat(World.take(events)).isEqualTo("ran");
     }
 
     @Test
-    void whatIsReadAfterAStandstillMayHaveComeAtItsStart() throws Exception {
+    void inputReadAfterAStallMayHaveArrivedAtItsStart() throws Exception {
         double startMs = loop.nowMs();
-        World.await("it looks", () -> loop.inputArrivedAfterMs() > startMs);
+        World.await("input has been checked", () -> loop.inputArrivedAfterMs() > startMs);
         loop.execute(() -> {
-            double stoppedMs = loop.nowMs();
-            while (loop.nowMs() < stoppedMs + STOOD_STILL_MS) Thread.onSpinWait();
-            heard.add(loop.inputArrivedAfterMs() <= stoppedMs ? "unread since" : "known");
+            double stalledMs = loop.nowMs();
+            while (loop.nowMs() < stalledMs + STALL_MS) Thread.onSpinWait();
+            events.add(loop.inputArrivedAfterMs() <= stalledMs ? "unread since" : "known");
             loop.runAfterInput(
-                    () -> heard.add(loop.connectionsArrivedAfterMs() <= stoppedMs ? "unread since" : "known"));
+                    () -> events.add(loop.connectionsArrivedAfterMs() <= stalledMs ? "unread since" : "known"));
         });
-        assertThat(World.take(heard)).isEqualTo("unread since");
-        assertThat(World.take(heard)).as("of connections, of which some may still wait").isEqualTo("unread since");
+        assertThat(World.take(events)).isEqualTo("unread since");
+        assertThat(World.take(events)).as("connections, some of which may not have been accepted yet")
+                .isEqualTo("unread since");
         double afterMs = loop.nowMs();
-        World.await("it has caught up", () -> loop.connectionsArrivedAfterMs() > afterMs);
+        World.await("the loop has caught up", () -> loop.connectionsArrivedAfterMs() > afterMs);
     }
 }
