--- a/src/main/java/maplerail/discovery/BlockingQuery.java
+++ b/src/main/java/maplerail/discovery/BlockingQuery.java
@@ -79,11 +79,11 @@
             if (!askedAgent.equals(agent)) return true;
             try {
                 if (status != 200) throw new ConfigException("status " + status);
-                JsonValue answer = JsonValue.parse(path, text);
+                JsonValue response = JsonValue.parse(path, text);
                 long previousIndex = index;
                 index = nextIndex(previousIndex, headers.getFirst("X-Consul-Index"));
                 // If the wait ended without a change, the index is the same.
-                if (index == 0 || index != previousIndex) onChange.accept(answer);
+                if (index == 0 || index != previousIndex) onChange.accept(response);
             } catch (ConfigException e) {
                 LOG.warn("consul: {}", e.getMessage());
                 index = 0;
--- a/src/main/java/maplerail/discovery/ConsulWatch.java
+++ b/src/main/java/maplerail/discovery/ConsulWatch.java
@@ -69,14 +69,14 @@
     }
 
     private void watch(String name) {
-        query("/v1/health/service/" + name, answer -> onList.accept(name, readServers(answer, ++version)));
+        query("/v1/health/service/" + name, response -> onList.accept(name, readServers(response, ++version)));
     }
 
     /** Reads the servers in a response of the health API; a server with a critical check receives no new requests. */
-    static EngineList readServers(JsonValue answer, long version) {
+    static EngineList readServers(JsonValue response, long version) {
         List<Router.Member> members = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new HashMap<>();
-        for (JsonValue entry : answer.list()) {
+        for (JsonValue entry : response.list()) {
             JsonValue service = entry.at("Service");
             String host = service.at("Address").text("");
             if (host.isEmpty()) host = entry.at("Node").at("Address").text("");
--- a/src/main/java/maplerail/discovery/PlatformWatch.java
+++ b/src/main/java/maplerail/discovery/PlatformWatch.java
@@ -48,7 +48,7 @@
     private long version = -1;
     /** The newest version received from any agent. */
     private long newestVersion = -1;
-    /** True while the known list is from an earlier run: the first call must not wait for a change. */
+    /** True while a list from an earlier run has to be confirmed, so that the call must not wait for a change. */
     private boolean unconfirmed;
     private double rejectOlderUntilMs = Double.NEGATIVE_INFINITY;
 
@@ -60,8 +60,7 @@
      * @param onList called with each list received
      */
     public PlatformWatch(ConnectionPool pool, XnioLoop loop, InetSocketAddress agent, NameTables names, int nodes,
-            long seed,
-            Consumer<EngineList> onList) {
+            long seed, Consumer<EngineList> onList) {
         this.pool = pool;
         this.loop = loop;
         this.agent = agent;
--- a/src/main/java/maplerail/net/Call.java
+++ b/src/main/java/maplerail/net/Call.java
@@ -35,6 +35,7 @@
     private Runnable cancelConnect;
     private Loop.ScheduledTask timeout;
     private boolean requiresNewConnection;
+    /** True if the call did not start at once, so that it has to ask before its first byte. */
     private boolean delayed;
     private boolean reused;
     private boolean localFault;
@@ -104,7 +105,7 @@
         String progress = outgoing == null ? "not written"
                 : "written " + outgoing.position() + " of " + outgoing.limit() + " bytes";
         if (connection == null && outgoing == null) return progress + ", waiting for a connection";
-        String connectionInfo = reused ? " on a kept connection" : " on a new connection";
+        String connectionInfo = reused ? " on a reused connection" : " on a new connection";
         String response = receivedBytes == 0 ? ""
                 : ", " + receivedBytes + " bytes, last " + Math.round(pool.loop().nowMs() - lastReceivedMs) + " ms ago"
                         + (paused ? ", paused" : "");
@@ -185,6 +186,7 @@
         return done;
     }
 
+    /** Starts the call on a connection, unless it was delayed and may no longer start. */
     void attach(PooledConnection newConnection) {
         cancelTimeout();
         cancelConnect = null;
--- a/src/main/java/maplerail/net/ConnectFault.java
+++ b/src/main/java/maplerail/net/ConnectFault.java
@@ -12,7 +12,7 @@
      * Returns true if the cause is this machine, which had no descriptor, buffer, port or route: EMFILE, ENFILE,
      * ENOBUFS, EADDRNOTAVAIL or ENETUNREACH. The standard library has separate classes for refused, timed out and no
      * route to host. Everything else is reported as a plain {@link SocketException}, of which only a reset is caused by
-     * the far side.
+     * the peer.
      */
     static boolean isLocal(IOException error) {
         if (error instanceof BindException) return true;
--- a/src/main/java/maplerail/net/ConnectionPool.java
+++ b/src/main/java/maplerail/net/ConnectionPool.java
@@ -25,7 +25,7 @@
 /** Keeps connections to engines and other servers for reuse. The pool never sends a request twice. */
 public final class ConnectionPool {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionPool.class);
-    /** Share of the far side's idle timeout for which a connection is kept. */
+    /** Share of the peer's idle timeout for which a connection is kept. */
     private static final double IDLE_LIFETIME_SHARE = 0.5;
     /** Idle time before a connection is reused, in which surplus bytes of the last response would arrive. */
     private static final double SETTLE_MS = 30;
@@ -67,7 +67,7 @@
     /**
      * Creates a pool.
      *
-     * @param connIdleMs idle time after which the far side closes a connection
+     * @param connIdleMs idle time after which the peer closes a connection
      * @param connectTimeoutMs longest time that a call waits for its connection
      * @param maxConnections limit on open connections, above which some are reserved for urgent calls
      */
@@ -139,6 +139,7 @@
         }
     }
 
+    /** Starts a call on an idle or a new connection; returns false if it has to wait for one. */
     private boolean tryStart(InetSocketAddress address, Call call) {
         PooledConnection available = call.requiresNewConnection() ? null : takeIdle(address);
         if (available != null) {
@@ -233,7 +234,7 @@
             stream = future.get();
         } catch (IOException e) {
             if (ConnectFault.isLocal(e) && !call.done()) retryConnect(address, call, e);
-            else call.fail(); // the far side refused the connection
+            else call.fail(); // the peer refused the connection
             startQueued(address);
             return;
         } catch (RuntimeException e) {
@@ -274,11 +275,13 @@
         return loop.nowMs() < localFaultPauseUntilMs;
     }
 
+    /** Starts queued calls to all addresses, once no pause after a local fault is in force. */
     private void startAllQueued() {
         if (inLocalFaultPause()) loop.schedule(localFaultPauseUntilMs, this::startAllQueued);
         else List.copyOf(queuedByAddress.keySet()).forEach(this::startQueued);
     }
 
+    /** Keeps a connection that is not in use for later calls. */
     void putIdle(PooledConnection connection) {
         connection.markIdle(loop.nowMs());
         idleByAddress.computeIfAbsent(connection.address, t -> new ArrayDeque<>()).addLast(connection);
@@ -289,7 +292,7 @@
     }
 
     /**
-     * Closes connections that have been idle for too long. Guards against writing to a connection that the far side is
+     * Closes connections that have been idle for too long. Guards against writing to a connection that the peer is
      * about to close, which would end in a reset.
      */
     private void sweep() {
--- a/src/main/java/maplerail/net/EngineClient.java
+++ b/src/main/java/maplerail/net/EngineClient.java
@@ -92,7 +92,7 @@
 
         /**
          * Ends a read without waiting any longer for the body. The head has already confirmed that a state is held, and
-         * the pin limit of the state is running; the body only tells how much of the prompt was cached.
+         * the pin limit of the state is running; the body only reports how much of the prompt was cached.
          */
         private void endReadWithoutBody() {
             if (ended) return;
--- a/src/main/java/maplerail/net/PooledConnection.java
+++ b/src/main/java/maplerail/net/PooledConnection.java
@@ -26,7 +26,7 @@
         return stream.isOpen();
     }
 
-    /** Closes the connection at once, without waiting for the far side. */
+    /** Closes the connection at once, without waiting for the peer. */
     void close() {
         IoUtils.safeClose(stream);
     }
@@ -45,7 +45,7 @@
         close();
     }
 
-    /** Marks the connection as idle and closes it if the far side closes it or sends bytes that belong to no call. */
+    /** Marks the connection as idle and closes it if the peer closes it or sends bytes that belong to no call. */
     void markIdle(double nowMs) {
         idleSinceMs = nowMs;
         stream.getSinkChannel().suspendWrites();
--- a/src/main/java/maplerail/net/ResponseHandler.java
+++ b/src/main/java/maplerail/net/ResponseHandler.java
@@ -19,7 +19,7 @@
 
     /** Why a call has no complete response. */
     enum Failure {
-        /** This machine could not open a connection, which says nothing about the far side. */
+        /** This machine could not open a connection, which says nothing about the peer. */
         LOCAL_FAULT,
         /**
          * The last byte of the request was not written: the connection was refused, not established, or broke before.
--- a/src/main/java/maplerail/net/ResponseParser.java
+++ b/src/main/java/maplerail/net/ResponseParser.java
@@ -36,6 +36,7 @@
     private int headBytes;
     private long remainingBytes;
     private boolean keepAlive;
+    /** True while a head or a chunk has been received in part. */
     private boolean partial;
     private boolean headComplete;
 
--- a/src/test/java/maplerail/net/ConnectionPoolTest.java
+++ b/src/test/java/maplerail/net/ConnectionPoolTest.java
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void idleConnectionIsReusedAndClosedBeforeTheFarSideClosesIt() throws Exception {
+    void idleConnectionIsReusedAndClosedBeforeThePeerClosesIt() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
             ConnectionPool pool = poolWithManyConnections();
             // A connection is not reused before it has been quiet for a while.
@@ -280,7 +280,7 @@
                     x.reply(200, "");
                 })) {
             ConnectionPool pool = pool(30_000);
-            assertThat(post(pool, server.socketAddress())).as("there is a kept connection").isEqualTo("end");
+            assertThat(post(pool, server.socketAddress())).as("there is an idle connection").isEqualTo("end");
             InetSocketAddress agentAddress = agent.socketAddress();
             loop.execute(() -> pool.start(agentAddress, Requests.to(agentAddress, Methods.GET, "/"), new byte[0],
                     new RecordingHandler(events)));
@@ -358,7 +358,7 @@
 
     @ParameterizedTest
     @MethodSource("localFaults")
-    void lastingLocalFaultIsNotAttributedToTheFarSide(IOException fault) throws Exception {
+    void lastingLocalFaultIsNotAttributedToThePeer(IOException fault) throws Exception {
         try (StandIn server = World.reader()) {
             ConnectionPool pool = pool(30_000, 150);
             failConnects(pool, Integer.MAX_VALUE, () -> fault);
