--- a/src/main/java/maplerail/net/CallSending.java
+++ b/src/main/java/maplerail/net/CallHandle.java
@@ -2,8 +2,8 @@
 
 import maplerail.core.EngineTransport;
 
-/** A {@link Call} as the core sees it. */
-record CallSending(Call call) implements EngineTransport.AttemptHandle {
+/** Adapts a {@link Call} to the interface of the core. */
+record CallHandle(Call call) implements EngineTransport.AttemptHandle {
     @Override
     public String trace() {
         return call.trace();
--- /dev/null
+++ b/src/main/java/maplerail/net/ResponseHandler.java
@@ -0,0 +1,31 @@
+package maplerail.net;
+
+import io.undertow.util.HeaderMap;
+import java.nio.ByteBuffer;
+
+/** Receives the response to a {@link Call}: a head, parts of the body, then either the end or a failure. */
+public interface ResponseHandler {
+    /** Called when the status line and the headers have been received. */
+    void head(int status, HeaderMap headers);
+
+    /** Called for each part of the body; the buffer may be used only during the call. */
+    void body(ByteBuffer part);
+
+    /** Called when the body is complete according to its framing. */
+    void end();
+
+    /** Called if there is no response or if it is incomplete. */
+    void failed(Failure failure);
+
+    /** Why a call has no complete response. */
+    enum Failure {
+        /** This machine could not open a connection, which says nothing about the peer. */
+        LOCAL_FAULT,
+        /**
+         * The last byte of the request was not written: the connection was refused, not established, or broke before.
+         */
+        NEVER_SENT,
+        /** The connection broke or ended too early after the last byte of the request had been written. */
+        BROKEN
+    }
+}
