--- a/src/main/java/maplerail/front/AcceptBackOff.java
+++ b/src/main/java/maplerail/front/AcceptBackOff.java
@@ -9,82 +9,86 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Cuts XNIO's pause after a failed accept short. After each accept that fails, as with EMFILE or ENFILE, XNIO accepts
- * nothing for 250 ms, then for 1, 4, 16 and 30 s if failures go on, and there is no option for it. A client whose
- * connection waits in the backlog has been accepted by this machine, and its request's deadline runs.
+ * Shortens XNIO's back-off after a failed accept. After each accept that fails, for example with EMFILE or ENFILE, XNIO
+ * accepts nothing for 250 ms, then for 1, 4, 16 and 30 s if the failures continue, and no option changes that. For a
+ * client whose connection waits in the backlog, this machine has accepted the connection, and the deadline of its
+ * request is running.
  *
- * <p>The parts of XNIO that this needs are in no public interface, so they are looked up; where they are missing, its
- * pauses stay and one line says so.
+ * <p>XNIO has no public API for this, so its private members are accessed by reflection. Where they are missing, XNIO's
+ * own back-off remains in effect and a warning is logged.
  */
 public final class AcceptBackOff {
     private static final Logger LOG = LoggerFactory.getLogger(AcceptBackOff.class);
-    private static final double LOOK_MS = 50; // the longest pause
-    private static final int SOUND_LOOKS = 4; // with no failure, after which the trouble is over
+    private static final double POLL_INTERVAL_MS = 50; // and the longest back-off
+    private static final int RECOVERY_POLLS = 4; // consecutive polls without a failure until accept counts as recovered
 
     private final Loop loop;
     private final Object handle;
-    private final Field pausing;
-    private final Method reset;
-    private final Method end;
+    private final Field backingOff;
+    private final Method resetBackOff;
+    private final Method endBackOff;
     private final DoubleConsumer failingSince;
-    private double soundMs;
-    private int soundLooks;
-    private boolean told;
+    private double lastHealthyMs;
+    private int healthyPolls;
+    private boolean failureLogged;
 
     private AcceptBackOff(Loop loop, Object server, DoubleConsumer failingSince) throws ReflectiveOperationException {
         this.loop = loop;
         this.failingSince = failingSince;
-        this.soundMs = loop.nowMs();
-        Object handles = open(server.getClass().getDeclaredField("handles")).get(server);
+        this.lastHealthyMs = loop.nowMs();
+        Object handles = makeAccessible(server.getClass().getDeclaredField("handles")).get(server);
         handle = Array.get(handles, 0);
-        pausing = open(handle.getClass().getDeclaredField("backOff"));
-        reset = open(handle.getClass().getDeclaredMethod("resetBackOff"));
-        end = open(handle.getClass().getDeclaredMethod("endBackOff"));
+        backingOff = makeAccessible(handle.getClass().getDeclaredField("backOff"));
+        resetBackOff = makeAccessible(handle.getClass().getDeclaredMethod("resetBackOff"));
+        endBackOff = makeAccessible(handle.getClass().getDeclaredMethod("endBackOff"));
     }
 
-    private static <T extends java.lang.reflect.AccessibleObject> T open(T member) {
+    private static <T extends java.lang.reflect.AccessibleObject> T makeAccessible(T member) {
         member.setAccessible(true);
         return member;
     }
 
     /**
-     * Looks after a listening server of a worker with one thread, from now on, and tells since when accept may have
-     * failed each time that it is about to be tried again.
+     * Starts to poll a listening server, and ends each back-off of its accept early.
+     *
+     * @param loop the loop of the worker's I/O thread
+     * @param server a listening server of a worker with a single I/O thread
+     * @param failingSince receives, before each retry, the time (ms) since which accept may have been failing
      */
     public static void limit(Loop loop, Object server, DoubleConsumer failingSince) {
         try {
-            new AcceptBackOff(loop, serverBehind(server), failingSince).look();
+            new AcceptBackOff(loop, unwrapServer(server), failingSince).poll();
         } catch (ReflectiveOperationException | RuntimeException e) {
-            LOG.warn("pauses after a failed accept stay as long as XNIO makes them", e);
+            LOG.warn("cannot shorten XNIO's back-off after a failed accept; its default delays apply", e);
         }
     }
 
-    /** A server with a queue for each thread wraps the real one. */
-    private static Object serverBehind(Object server) throws ReflectiveOperationException {
+    /** Returns the server itself, or the one that it wraps: a server with a queue for each thread is a wrapper. */
+    private static Object unwrapServer(Object server) throws ReflectiveOperationException {
         for (Field field : server.getClass().getDeclaredFields()) {
-            if (field.getName().equals("realServer")) return open(field).get(server);
+            if (field.getName().equals("realServer")) return makeAccessible(field).get(server);
         }
         return server;
     }
 
-    private void look() {
-        loop.schedule(loop.nowMs() + LOOK_MS, this::look);
+    private void poll() {
+        loop.schedule(loop.nowMs() + POLL_INTERVAL_MS, this::poll);
         try {
-            if (pausing.getBoolean(handle)) {
-                if (!told) LOG.warn("accept fails on this machine; trying again every {} ms", LOOK_MS);
-                told = true;
-                soundLooks = 0;
-                failingSince.accept(soundMs);
-                reset.invoke(handle);
-                end.invoke(handle);
+            if (backingOff.getBoolean(handle)) {
+                if (!failureLogged) LOG.warn("accepting connections fails; retrying every {} ms", POLL_INTERVAL_MS);
+                failureLogged = true;
+                healthyPolls = 0;
+                failingSince.accept(lastHealthyMs);
+                resetBackOff.invoke(handle);
+                endBackOff.invoke(handle);
             } else {
-                // One accept that succeeds, with the only descriptor there is, does not empty the backlog.
-                if (++soundLooks < SOUND_LOOKS) return;
-                told = false;
-                soundMs = loop.nowMs();
+                // A single accept may succeed with the only free descriptor and leave the backlog full.
+                if (++healthyPolls < RECOVERY_POLLS) return;
+                failureLogged = false;
+                lastHealthyMs = loop.nowMs();
             }
         } catch (ReflectiveOperationException e) {
-            LOG.warn("a pause after a failed accept could not be ended", e);
+            LOG.warn("cannot end XNIO's back-off after a failed accept", e);
         }
     }
 }
--- a/src/main/java/maplerail/front/ArrivalConduit.java
+++ b/src/main/java/maplerail/front/ArrivalConduit.java
@@ -7,72 +7,80 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Notes of one client's connection what is read and since when it can have been there: a request's time runs from when it
- * was sent, not from when this program came to read it.
+ * Records what is read from one client connection and the earliest time at which it can have arrived. A request's
+ * deadline runs from when the request was sent, not from when the gateway reads it.
  */
 final class ArrivalConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
     private final Loop loop;
     private final ArrivalLog arrivals;
     private final Runnable onBytes;
-    /** When it was last known that nothing had come which was not read. */
-    private double emptyMs;
-    /** Since when all that comes is read as soon as the loop comes to it; infinite while it is not. */
-    private double resumedMs = Double.POSITIVE_INFINITY;
+    /** The latest time at which every byte that had arrived is known to have been read. */
+    private double lastEmptyMs;
+    /**
+     * Since when the loop reads whatever arrives as soon as it reaches this connection; infinite while reads are
+     * suspended.
+     */
+    private double readingSinceMs = Double.POSITIVE_INFINITY;
 
-    /** Makes one for a connection that had not been made by some time; tells each time that bytes were read. */
-    ArrivalConduit(StreamSourceConduit from, Loop loop, ArrivalLog arrivals, double connectedSinceMs,
+    /**
+     * Wraps a connection's source.
+     *
+     * @param connectedSinceMs the time before which the connection had not been made
+     * @param onBytes runs each time that bytes were read
+     */
+    ArrivalConduit(StreamSourceConduit source, Loop loop, ArrivalLog arrivals, double connectedSinceMs,
             Runnable onBytes) {
-        super(from);
+        super(source);
         this.loop = loop;
         this.arrivals = arrivals;
-        this.emptyMs = connectedSinceMs;
+        this.lastEmptyMs = connectedSinceMs;
         this.onBytes = onBytes;
     }
 
     @Override
-    public int read(ByteBuffer into) throws IOException {
+    public int read(ByteBuffer buffer) throws IOException {
         double beforeMs = loop.nowMs();
-        int count = super.read(into);
-        came(count, beforeMs);
+        int count = super.read(buffer);
+        onRead(count, beforeMs);
         return count;
     }
 
     @Override
-    public long read(ByteBuffer[] into, int offset, int length) throws IOException {
+    public long read(ByteBuffer[] buffer, int offset, int length) throws IOException {
         double beforeMs = loop.nowMs();
-        long count = super.read(into, offset, length);
-        came(count, beforeMs);
+        long count = super.read(buffer, offset, length);
+        onRead(count, beforeMs);
         return count;
     }
 
-    private void came(long count, double beforeMs) {
-        double sinceMs = loop.inputArrivedAfterMs();
-        if (resumedMs <= sinceMs) emptyMs = Math.max(emptyMs, sinceMs);
-        if (count == 0) emptyMs = beforeMs;
+    private void onRead(long count, double beforeMs) {
+        double inputSinceMs = loop.inputArrivedAfterMs();
+        if (readingSinceMs <= inputSinceMs) lastEmptyMs = Math.max(lastEmptyMs, inputSinceMs);
+        if (count == 0) lastEmptyMs = beforeMs;
         if (count <= 0) return;
-        arrivals.read(count, emptyMs);
+        arrivals.onRead(count, lastEmptyMs);
         onBytes.run();
     }
 
     @Override
     public void resumeReads() {
-        resumed();
+        markReading();
         super.resumeReads();
     }
 
     @Override
     public void wakeupReads() {
-        resumed();
+        markReading();
         super.wakeupReads();
     }
 
-    private void resumed() {
-        if (resumedMs == Double.POSITIVE_INFINITY) resumedMs = loop.nowMs();
+    private void markReading() {
+        if (readingSinceMs == Double.POSITIVE_INFINITY) readingSinceMs = loop.nowMs();
     }
 
     @Override
     public void suspendReads() {
-        resumedMs = Double.POSITIVE_INFINITY;
+        readingSinceMs = Double.POSITIVE_INFINITY;
         super.suspendReads();
     }
 }
--- a/src/main/java/maplerail/front/ArrivalLog.java
+++ b/src/main/java/maplerail/front/ArrivalLog.java
@@ -3,52 +3,52 @@
 import java.util.ArrayDeque;
 
 /**
- * Of one client's connection: the earliest time at which the first byte of its present request can have been sent. Bytes
- * may lie in the system for a while before they are read, and those of several requests may be read together.
+ * Tracks, for one client connection, the earliest time at which the first byte of the current request can have been
+ * sent. Bytes may wait in the kernel before they are read, and those of several requests may be read together.
  */
 final class ArrivalLog {
-    private final ArrayDeque<Piece> pieces = new ArrayDeque<>();
+    private final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
     private long received;
     private boolean stopped;
 
-    /** Bytes from an offset in all that the client has sent, none of which had been sent by some time. */
-    private record Piece(long offset, double notBeforeMs) {}
+    /** Bytes from an offset in all that the client has sent, none of which was sent before a given time. */
+    private record Chunk(long offset, double notBeforeMs) {}
 
-    /** More bytes were read, none of which had been sent by some time. */
-    void read(long count, double notBeforeMs) {
+    /** Records that bytes were read, none of which was sent before {@code notBeforeMs}. */
+    void onRead(long count, double notBeforeMs) {
         if (stopped) return;
-        if (pieces.isEmpty() || pieces.peekLast().notBeforeMs != notBeforeMs) {
-            pieces.addLast(new Piece(received, notBeforeMs));
+        if (chunks.isEmpty() || chunks.peekLast().notBeforeMs != notBeforeMs) {
+            chunks.addLast(new Chunk(received, notBeforeMs));
         }
         received += count;
     }
 
-    /** The present request has ended; so many bytes that were read belong to those behind it. */
+    /** Ends the current request; the last {@code unread} bytes that were read belong to later requests. */
     void requestEnded(long unread) {
-        long next = received - unread;
-        while (!pieces.isEmpty() && endOfFirst() <= next) pieces.pollFirst();
+        long nextOffset = received - unread;
+        while (!chunks.isEmpty() && firstChunkEnd() <= nextOffset) chunks.pollFirst();
     }
 
-    /** What comes from now on is not made up of requests: nothing more is noted. */
+    /** Stops recording: the connection no longer carries HTTP requests. */
     void stop() {
         stopped = true;
-        pieces.clear();
+        chunks.clear();
     }
 
-    /** Pieces that are remembered. */
+    /** Returns the number of chunks that are kept. */
     int size() {
-        return pieces.size();
+        return chunks.size();
     }
 
-    private long endOfFirst() {
-        Piece first = pieces.pollFirst();
-        long end = pieces.isEmpty() ? received : pieces.peekFirst().offset;
-        pieces.addFirst(first);
+    private long firstChunkEnd() {
+        Chunk first = chunks.pollFirst();
+        long end = chunks.isEmpty() ? received : chunks.peekFirst().offset;
+        chunks.addFirst(first);
         return end;
     }
 
-    /** Before this time not a byte of the present request had been sent; a time not reached if none was read. */
+    /** Returns the time before which no byte of the current request was sent; infinite if none has been read. */
     double notBeforeMs() {
-        return pieces.isEmpty() ? Double.POSITIVE_INFINITY : pieces.peekFirst().notBeforeMs;
+        return chunks.isEmpty() ? Double.POSITIVE_INFINITY : chunks.peekFirst().notBeforeMs;
     }
 }
--- a/src/main/java/maplerail/front/ClientListener.java
+++ b/src/main/java/maplerail/front/ClientListener.java
@@ -26,291 +26,310 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Every connection that clients have open at one listener, and since when each is what it is. Ends those that say
- * nothing, or begin a request and don't end it, and makes room by ending those that have long been idle. Guards
- * against clients that hold a descriptor for nothing: without one no other client and no engine can be reached.
+ * Tracks all client connections of one listener, with the state of each and since when it is in it. Closes connections
+ * that send nothing or that start a request and don't complete it, and makes room by closing those that have been idle
+ * for long. Guards against clients that hold a file descriptor without using it: when none is free, no other client
+ * and no engine can be reached.
  */
 public final class ClientListener implements ChannelListener<StreamConnection> {
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
-    /** From the connection's start, or its request's first byte, until the request must be whole. */
-    private static final double ARRIVE_MS = 2_500;
-    /** Without a byte, after which a request that may take longer has stopped. */
-    private static final double STALLED_MS = 1_000;
-    private static final double IDLE_MS = 2_000; // for which a client may rely on an idle connection
-    private static final double SILENT_MS = 200; // for which a new one may be silent while room is short
-    private static final double FULL_SILENT_MS = 50; // and while there is none: with it, its first request comes
-    private static final double FULL_STALLED_MS = 250; // after which one that stopped within a request is ended then
-    private static final double LONG_IDLE_MS = 30_000;
-    private static final double LOOK_MS = 50;
-    private static final double BACKLOG_MS = 100; // in which the backlog has emptied once accept works again
-    private static final byte[] TOO_LATE = ("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n"
+    /** Within this time of the connection's start, or of a later request's first byte, a request must be complete. */
+    private static final double RECEIVE_TIMEOUT_MS = 2_500;
+    /** Time without a byte after which a request that may take longer than that counts as stalled. */
+    private static final double STALL_TIMEOUT_MS = 1_000;
+    private static final double MIN_IDLE_MS = 2_000; // for which a client may rely on an idle connection
+    /** For a new connection while few places are left, and for an idle one while none is. */
+    private static final double SILENT_TIMEOUT_MS = 200;
+    /** For a new connection while no place is left: a client's first request arrives with its connection. */
+    private static final double FULL_SILENT_TIMEOUT_MS = 50;
+    private static final double FULL_STALL_TIMEOUT_MS = 250; // for an incomplete request, while no place is left
+    private static final double IDLE_TIMEOUT_MS = 30_000;
+    private static final double CHECK_INTERVAL_MS = 50;
+    private static final double BACKLOG_DRAIN_MS = 100; // to empty the backlog once accept works again
+    private static final byte[] REQUEST_TIMEOUT_RESPONSE = ("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n"
             + "Connection: close\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
-    private static final int ROOM_PART = 8; // of the places: kept free by ending what is idle
-    private static final int FULL_PART = 32; // with fewer left nobody new gets in: any idle one may have to go
+    private static final int RESERVED_DIVISOR = 8; // one in 8 places is kept free by closing idle connections
+    /**
+     * The listener counts as full with at most one place in 32 left: no new client gets in, so any idle connection may
+     * have to be closed.
+     */
+    private static final int FULL_DIVISOR = 32;
 
-    private enum State { SILENT, ARRIVING, WAITING, OPEN, IDLE, KEPT }
+    /**
+     * State of a connection: new and without a byte yet, receiving a request, with a request that waits to be handled,
+     * with a request in flight, idle between requests, or taken over by another protocol.
+     */
+    private enum State { SILENT, RECEIVING, QUEUED, IN_FLIGHT, IDLE, UPGRADED }
 
-    private static final Set<State> BUSY = EnumSet.of(State.ARRIVING, State.WAITING, State.OPEN);
+    private static final Set<State> ACTIVE_STATES = EnumSet.of(State.RECEIVING, State.QUEUED, State.IN_FLIGHT);
 
-    /** Why the gateway ended a client's connection, or left it open after all. */
+    /** Why the gateway closed a client's connection, or kept it open after all. */
     private enum Closed {
         SAID_NOTHING, REQUEST_INCOMPLETE, IDLE_TOO_LONG, ROOM_SHORT, SHUTTING_DOWN, HEARD_IN_TIME
     }
 
-    private final ChannelListener<StreamConnection> next;
+    private final ChannelListener<StreamConnection> httpListener;
     private final Loop loop;
-    private final int most;
+    private final int maxConnections;
     private final ServiceCounters counters;
-    private final Map<StreamConnection, Tracked> tracked = new LinkedHashMap<>();
-    private boolean looking;
-    /** When accept last failed, and since when it had. */
+    private final Map<StreamConnection, ClientConnection> clients = new LinkedHashMap<>();
+    private boolean checkScheduled;
+    /** When accept last failed, and since when it had been failing. */
     private double acceptFailedMs = Double.NEGATIVE_INFINITY;
     private double acceptFailingSinceMs;
     private final ConnectionBurst burst = new ConnectionBurst();
 
-    private static final class Tracked {
+    private static final class ClientConnection {
         State state = State.SILENT;
         double sinceMs;
         final ArrivalLog arrivals = new ArrivalLog();
-        /** When the last bytes came, and for how long the request that is arriving may go on if more keep coming. */
-        double heardMs;
-        double arriveMs = ARRIVE_MS;
+        /** When the last bytes were read, and how long the current request may take while more keep arriving. */
+        double lastByteMs;
+        double receiveTimeoutMs = RECEIVE_TIMEOUT_MS;
 
-        /** Since when it has been in its state with no byte from its client. */
+        /** Since when it has been in its state without a byte from its client. */
         double quietSinceMs() {
-            return Math.max(sinceMs, heardMs);
+            return Math.max(sinceMs, lastByteMs);
         }
     }
 
     /**
-     * Accept has failed since some time and is about to be tried again: whoever comes in now, or soon, while the
-     * backlog empties, may have waited since then.
+     * Records that accept has been failing since {@code sinceMs} and is about to be retried: a connection that is
+     * accepted now, or soon after, while the backlog empties, may have waited since then.
      */
     public void acceptFailed(double sinceMs) {
         acceptFailingSinceMs = sinceMs;
         acceptFailedMs = loop.nowMs();
     }
 
-    /** A connection that comes in now had not been made by this time. */
+    /** Returns the time before which a connection that is accepted now had not been made. */
     private double connectedSinceMs() {
-        double now = loop.nowMs();
-        double sinceMs = burst.notBeforeMs(now, loop.connectionsArrivedAfterMs());
-        return now - acceptFailedMs < BACKLOG_MS ? Math.min(sinceMs, acceptFailingSinceMs) : sinceMs;
+        double nowMs = loop.nowMs();
+        double sinceMs = burst.recordAccept(nowMs, loop.connectionsArrivedAfterMs());
+        return nowMs - acceptFailedMs < BACKLOG_DRAIN_MS ? Math.min(sinceMs, acceptFailingSinceMs) : sinceMs;
     }
 
-    /** Before this time not a byte of a request had been sent. */
-    public double sentMs(HttpServerExchange exchange) {
-        Tracked client = find(exchange);
+    /** Returns the time before which no byte of the exchange's request was sent. */
+    public double earliestSentMs(HttpServerExchange exchange) {
+        ClientConnection client = find(exchange);
         return client == null ? loop.nowMs() : Math.min(loop.nowMs(), client.arrivals.notBeforeMs());
     }
 
-    /** A listener before the HTTP server's own, through which at most so many connections should be at once. */
-    public ClientListener(ChannelListener<StreamConnection> next, Loop loop, int most, ServiceCounters counters) {
-        this.next = next;
+    /**
+     * Makes a listener in front of the HTTP server's own.
+     *
+     * @param httpListener the HTTP server's listener, which handles each connection
+     * @param maxConnections the number of connections that should be open at once at most
+     */
+    public ClientListener(ChannelListener<StreamConnection> httpListener, Loop loop, int maxConnections,
+            ServiceCounters counters) {
+        this.httpListener = httpListener;
         this.loop = loop;
-        this.most = most;
+        this.maxConnections = maxConnections;
         this.counters = counters;
     }
 
     @Override
     public void handleEvent(StreamConnection connection) {
-        Tracked client = new Tracked();
+        ClientConnection client = new ClientConnection();
         client.sinceMs = loop.nowMs();
-        tracked.put(connection, client);
+        clients.put(connection, client);
         StreamSourceConduit source = connection.getSourceChannel().getConduit();
         connection.getSourceChannel().setConduit(
-                new ArrivalConduit(source, loop, client.arrivals, connectedSinceMs(), () -> came(client)));
-        if (!looking) loop.schedule(loop.nowMs() + LOOK_MS, this::look);
-        looking = true;
-        next.handleEvent(connection);
+                new ArrivalConduit(source, loop, client.arrivals, connectedSinceMs(), () -> onBytesRead(client)));
+        if (!checkScheduled) loop.schedule(loop.nowMs() + CHECK_INTERVAL_MS, this::checkConnections);
+        checkScheduled = true;
+        httpListener.handleEvent(connection);
     }
 
-    /** Bytes were read: a connection with a request on its way does not count as idle. */
-    private void came(Tracked client) {
-        client.heardMs = loop.nowMs();
-        begun(client);
+    /** Records that bytes were read: a connection on which a request is arriving does not count as idle. */
+    private void onBytesRead(ClientConnection client) {
+        client.lastByteMs = loop.nowMs();
+        onRequestStarted(client);
     }
 
-    private void begun(Tracked client) {
-        // A new connection's time to get its request in runs from its start: it may be fed a byte at a time.
+    private void onRequestStarted(ClientConnection client) {
+        // On a new connection the timeout runs from its start: a client may send one byte at a time.
         if (client.state == State.IDLE) client.sinceMs = loop.nowMs();
-        if (client.state == State.IDLE || client.state == State.SILENT) client.state = State.ARRIVING;
+        if (client.state == State.IDLE || client.state == State.SILENT) client.state = State.RECEIVING;
     }
 
     /**
-     * A request's head is whole; its connection is idle again once the request is answered to the last byte, unless
-     * more came behind it: no further byte need come then, and the server may have the next request whole already.
+     * Records that the head of a request is complete. The connection is idle again once the request is answered to the
+     * last byte, unless pipelined bytes follow it: the server may hold the whole next request already, so that no
+     * further byte may arrive.
      */
-    public void entered(HttpServerExchange exchange) {
-        Tracked entering = find(exchange);
-        if (entering != null) begun(entering);
-        exchange.addExchangeCompleteListener((done, proceed) -> {
-            set(done, State.IDLE);
-            Tracked client = find(done);
-            if (client != null) ended(client, done);
+    public void onRequestHead(HttpServerExchange exchange) {
+        ClientConnection starting = find(exchange);
+        if (starting != null) onRequestStarted(starting);
+        exchange.addExchangeCompleteListener((completed, proceed) -> {
+            setState(completed, State.IDLE);
+            ClientConnection client = find(completed);
+            if (client != null) onRequestCompleted(client, completed);
             proceed.proceed();
         });
     }
 
-    private void ended(Tracked client, HttpServerExchange exchange) {
-        int unread = unread((HttpServerConnection) exchange.getConnection());
+    private void onRequestCompleted(ClientConnection client, HttpServerExchange exchange) {
+        int unread = unreadBytes((HttpServerConnection) exchange.getConnection());
         client.arrivals.requestEnded(unread);
         if (unread == 0 || !exchange.isPersistent()) return;
-        client.heardMs = loop.nowMs();
-        begun(client);
+        client.lastByteMs = loop.nowMs();
+        onRequestStarted(client);
     }
 
-    /** What the server has of the requests behind the present one. */
-    private static int unread(HttpServerConnection connection) {
+    /** Returns the number of bytes that the server holds of requests after the current one. */
+    private static int unreadBytes(HttpServerConnection connection) {
         PooledByteBuffer extra = connection.getExtraBytes();
         return extra == null ? 0 : extra.getBuffer().remaining();
     }
 
-    /** A request that has come waits for its turn: however long that takes, its client has not stopped. */
-    public void waits(HttpServerExchange exchange) {
-        Tracked client = find(exchange);
-        if (client != null && client.state == State.ARRIVING) client.state = State.WAITING;
+    /** Records that a request waits to be handled: however long that takes, its client has not stalled. */
+    public void onQueued(HttpServerExchange exchange) {
+        ClientConnection client = find(exchange);
+        if (client != null && client.state == State.RECEIVING) client.state = State.QUEUED;
     }
 
-    /** Its turn has come: what is missing of it may arrive. */
-    public void turnCame(HttpServerExchange exchange) {
-        Tracked client = find(exchange);
-        if (client == null || client.state != State.WAITING) return;
-        client.state = State.ARRIVING;
-        client.heardMs = loop.nowMs();
+    /** Records that a request that waited is handled now: the rest of it may arrive. */
+    public void onDequeued(HttpServerExchange exchange) {
+        ClientConnection client = find(exchange);
+        if (client == null || client.state != State.QUEUED) return;
+        client.state = State.RECEIVING;
+        client.lastByteMs = loop.nowMs();
     }
 
-    /** A request's head is sound, and its client waits for so long: a body that keeps coming may take that time. */
-    public void arriving(HttpServerExchange exchange, double budgetMs) {
-        Tracked client = find(exchange);
-        if (client != null) client.arriveMs = Math.max(ARRIVE_MS, budgetMs);
+    /** Records for how long a client waits: a body that keeps arriving after a valid head may take that long. */
+    public void extendReceiveTimeout(HttpServerExchange exchange, double budgetMs) {
+        ClientConnection client = find(exchange);
+        if (client != null) client.receiveTimeoutMs = Math.max(RECEIVE_TIMEOUT_MS, budgetMs);
     }
 
-    /** A request is whole: its connection stays until it is answered. */
-    public void open(HttpServerExchange exchange) {
-        set(exchange, State.OPEN);
+    /** Records that a request is complete: its connection stays open until it is answered. */
+    public void onRequestReceived(HttpServerExchange exchange) {
+        setState(exchange, State.IN_FLIGHT);
     }
 
-    /** The connection is no longer one of requests and answers; whoever took it over looks after it. */
-    public void keep(HttpServerExchange exchange) {
-        set(exchange, State.KEPT);
-        Tracked client = find(exchange);
+    /** Records that the connection no longer carries HTTP requests: the protocol that took it over manages it. */
+    public void onUpgraded(HttpServerExchange exchange) {
+        setState(exchange, State.UPGRADED);
+        ClientConnection client = find(exchange);
         if (client != null) client.arrivals.stop();
     }
 
-    private void set(HttpServerExchange exchange, State state) {
-        Tracked client = find(exchange);
-        if (client == null || client.state == State.KEPT) return;
+    private void setState(HttpServerExchange exchange, State state) {
+        ClientConnection client = find(exchange);
+        if (client == null || client.state == State.UPGRADED) return;
         client.state = state;
         client.sinceMs = loop.nowMs();
-        client.arriveMs = ARRIVE_MS;
+        client.receiveTimeoutMs = RECEIVE_TIMEOUT_MS;
     }
 
-    private Tracked find(HttpServerExchange exchange) {
+    private ClientConnection find(HttpServerExchange exchange) {
         ServerConnection connection = exchange.getConnection();
-        return connection instanceof HttpServerConnection http ? tracked.get(http.getChannel()) : null;
+        return connection instanceof HttpServerConnection http ? clients.get(http.getChannel()) : null;
     }
 
-    private void look() {
-        double now = loop.nowMs();
-        tracked.keySet().removeIf(connection -> !connection.isOpen());
-        Map<StreamConnection, Closed> ended = new LinkedHashMap<>();
-        tracked.forEach((connection, client) -> {
-            double age = now - client.sinceMs;
-            boolean late = switch (client.state) {
-                case SILENT -> age >= ARRIVE_MS;
-                case ARRIVING -> age >= client.arriveMs || age >= ARRIVE_MS && now - client.heardMs >= STALLED_MS;
-                case IDLE -> age >= LONG_IDLE_MS;
+    private void checkConnections() {
+        double nowMs = loop.nowMs();
+        clients.keySet().removeIf(connection -> !connection.isOpen());
+        Map<StreamConnection, Closed> expired = new LinkedHashMap<>();
+        clients.forEach((connection, client) -> {
+            double ageMs = nowMs - client.sinceMs;
+            boolean timedOut = switch (client.state) {
+                case SILENT -> ageMs >= RECEIVE_TIMEOUT_MS;
+                case RECEIVING -> ageMs >= client.receiveTimeoutMs
+                        || ageMs >= RECEIVE_TIMEOUT_MS && nowMs - client.lastByteMs >= STALL_TIMEOUT_MS;
+                case IDLE -> ageMs >= IDLE_TIMEOUT_MS;
                 default -> false;
             };
-            if (late) ended.put(connection, lateAs(client.state));
+            if (timedOut) expired.put(connection, timeoutReason(client.state));
         });
-        ended.forEach(this::turnOutUnlessHeard);
-        makeRoom(now);
-        looking = !tracked.isEmpty();
-        if (looking) loop.schedule(now + LOOK_MS, this::look);
+        expired.forEach(this::closeUnlessRequestArrived);
+        makeRoom(nowMs);
+        checkScheduled = !clients.isEmpty();
+        if (checkScheduled) loop.schedule(nowMs + CHECK_INTERVAL_MS, this::checkConnections);
     }
 
     /**
-     * Ends a connection unless a request has come on it by now. Guards against a loop that stood still: timers run
-     * before what has arrived is read, and a close over unread bytes would lose a request that is already there.
+     * Closes a connection unless a request has arrived on it by now. Guards against a loop that was stalled: timers run
+     * before arrived bytes are read, and closing with bytes unread would lose a request that is already there.
      */
-    private void turnOutUnlessHeard(StreamConnection connection, Closed why) {
-        Tracked client = tracked.get(connection);
+    private void closeUnlessRequestArrived(StreamConnection connection, Closed reason) {
+        ClientConnection client = clients.get(connection);
         State state = client.state;
         double sinceMs = client.sinceMs;
-        turnOutAfterInput(connection, why, () -> client.state == state && client.sinceMs == sinceMs);
+        closeAfterInput(connection, reason, () -> client.state == state && client.sinceMs == sinceMs);
     }
 
-    /** Ends a connection to make room, unless a byte has come on it by now. */
-    private void turnOutIfQuiet(StreamConnection connection) {
-        Tracked client = tracked.get(connection);
+    /** Closes a connection to make room, unless a byte has arrived on it by now. */
+    private void closeForRoomIfQuiet(StreamConnection connection) {
+        ClientConnection client = clients.get(connection);
         State state = client.state;
         double quietSinceMs = client.quietSinceMs();
-        turnOutAfterInput(connection, Closed.ROOM_SHORT,
+        closeAfterInput(connection, Closed.ROOM_SHORT,
                 () -> client.state == state && client.quietSinceMs() == quietSinceMs);
     }
 
-    private void turnOutAfterInput(StreamConnection connection, Closed why, BooleanSupplier unchanged) {
+    private void closeAfterInput(StreamConnection connection, Closed reason, BooleanSupplier unchanged) {
         loop.runAfterInput(() -> {
-            if (!tracked.containsKey(connection)) return;
-            boolean ends = unchanged.getAsBoolean();
-            counters.count(ends ? why : Closed.HEARD_IN_TIME);
-            if (ends) turnOut(connection);
+            if (!clients.containsKey(connection)) return;
+            boolean closes = unchanged.getAsBoolean();
+            counters.count(closes ? reason : Closed.HEARD_IN_TIME);
+            if (closes) closeConnection(connection);
         });
     }
 
-    private static Closed lateAs(State state) {
+    private static Closed timeoutReason(State state) {
         return switch (state) {
             case SILENT -> Closed.SAID_NOTHING;
-            case ARRIVING -> Closed.REQUEST_INCOMPLETE;
+            case RECEIVING -> Closed.REQUEST_INCOMPLETE;
             default -> Closed.IDLE_TOO_LONG;
         };
     }
 
-    private void turnOut(StreamConnection connection) {
-        Tracked client = tracked.remove(connection);
-        if (client.state == State.ARRIVING) {
+    private void closeConnection(StreamConnection connection) {
+        ClientConnection client = clients.remove(connection);
+        if (client.state == State.RECEIVING) {
             try {
-                connection.getSinkChannel().write(ByteBuffer.wrap(TOO_LATE));
+                connection.getSinkChannel().write(ByteBuffer.wrap(REQUEST_TIMEOUT_RESPONSE));
             } catch (IOException e) {
-                LOG.debug("a client's connection failed", e); // it is ended next
+                LOG.debug("cannot write the 408 response to a client", e); // the connection is closed next
             }
         }
         IoUtils.safeClose(connection);
     }
 
     /**
-     * While room is short, ends those that say nothing, then those that are idle. With no place left, as many as there
-     * are that say nothing or stopped within a request: behind them requests may wait in the system's queue, and their
-     * time runs.
+     * While few places are left, closes silent connections, then idle ones. While no place is left, closes all that are
+     * silent or have stalled within a request: requests may wait behind them in the kernel's backlog, and their
+     * deadlines are running.
      */
-    private void makeRoom(double now) {
-        int over = tracked.size() - (most - most / ROOM_PART);
-        if (over <= 0) return;
-        boolean full = tracked.size() >= most - most / FULL_PART;
-        int ended = full ? end(State.SILENT, FULL_SILENT_MS, tracked.size(), now)
-                : end(State.SILENT, SILENT_MS, over, now);
-        if (full) ended += end(State.ARRIVING, FULL_STALLED_MS, tracked.size(), now);
-        end(State.IDLE, full ? SILENT_MS : IDLE_MS, over - ended, now);
+    private void makeRoom(double nowMs) {
+        int excess = clients.size() - (maxConnections - maxConnections / RESERVED_DIVISOR);
+        if (excess <= 0) return;
+        boolean full = clients.size() >= maxConnections - maxConnections / FULL_DIVISOR;
+        int closed = full ? closeLongestQuiet(State.SILENT, FULL_SILENT_TIMEOUT_MS, clients.size(), nowMs)
+                : closeLongestQuiet(State.SILENT, SILENT_TIMEOUT_MS, excess, nowMs);
+        if (full) closed += closeLongestQuiet(State.RECEIVING, FULL_STALL_TIMEOUT_MS, clients.size(), nowMs);
+        closeLongestQuiet(State.IDLE, full ? SILENT_TIMEOUT_MS : MIN_IDLE_MS, excess - closed, nowMs);
     }
 
-    /** Ends at most so many that have been in a state with no byte for the longest, and returns how many. */
-    private int end(State state, double leastMs, int atMost, double now) {
-        List<StreamConnection> longest = tracked.entrySet().stream()
+    /** Closes up to {@code maxCount} connections in a state, those quiet for longest first, and returns how many. */
+    private int closeLongestQuiet(State state, double minQuietMs, int maxCount, double nowMs) {
+        List<StreamConnection> candidates = clients.entrySet().stream()
                 .filter(e -> e.getValue().state == state
-                        && ProtocolRules.checkClose(false, now - e.getValue().quietSinceMs(),
-                                leastMs) == Reason.ALLOWED)
+                        && ProtocolRules.checkClose(false, nowMs - e.getValue().quietSinceMs(),
+                                minQuietMs) == Reason.ALLOWED)
                 .sorted((a, b) -> Double.compare(a.getValue().quietSinceMs(), b.getValue().quietSinceMs()))
-                .limit(Math.max(0, atMost)).map(Map.Entry::getKey).toList();
-        longest.forEach(this::turnOutIfQuiet);
-        return longest.size();
+                .limit(Math.max(0, maxCount)).map(Map.Entry::getKey).toList();
+        candidates.forEach(this::closeForRoomIfQuiet);
+        return candidates.size();
     }
 
-    /** Ends the connections on which nothing is open or on its way, for a program that is about to stop. */
+    /** Closes the connections on which no request is open or arriving; for a program that is about to stop. */
     public void closeIdle() {
         List<StreamConnection> idle = new ArrayList<>();
-        tracked.forEach((connection, client) -> {
+        clients.forEach((connection, client) -> {
             boolean inUse = client.state != State.IDLE && client.state != State.SILENT;
             if (ProtocolRules.checkClose(inUse, 0, 0) == Reason.ALLOWED) idle.add(connection);
         });
@@ -320,19 +339,20 @@
         });
     }
 
-    /** Ends all connections: the worker's end alone would leave them open. */
+    /** Closes all connections: shutting down the worker alone would leave them open. */
     public void close() {
-        List.copyOf(tracked.keySet()).forEach(IoUtils::safeClose);
+        List.copyOf(clients.keySet()).forEach(IoUtils::safeClose);
     }
 
-    /** Connections on which a request is open or on its way. */
+    /** Returns the number of connections on which a request is open or arriving. */
     public int activeConnections() {
-        return (int) tracked.entrySet().stream().filter(e -> e.getKey().isOpen() && BUSY.contains(e.getValue().state))
+        return (int) clients.entrySet().stream()
+                .filter(e -> e.getKey().isOpen() && ACTIVE_STATES.contains(e.getValue().state))
                 .count();
     }
 
-    /** Connections in all. */
+    /** Returns the number of open connections. */
     public int connections() {
-        return (int) tracked.keySet().stream().filter(StreamConnection::isOpen).count();
+        return (int) clients.keySet().stream().filter(StreamConnection::isOpen).count();
     }
 }
--- a/src/main/java/maplerail/front/ConnectionBurst.java
+++ b/src/main/java/maplerail/front/ConnectionBurst.java
@@ -3,30 +3,39 @@
 import java.util.Arrays;
 
 /**
- * Since when a new connection may have waited in the system before it was accepted. Of a crowd that comes at once each one
- * may have waited since the first: nothing tells that the system's queue was empty in between. Fewer than that are
- * accepted as they come, however long they go on coming.
+ * Estimates since when a new connection may have waited in the kernel's backlog. Each connection of a burst may have
+ * waited since the burst began, as nothing shows that the backlog was empty in between. Connections that arrive more
+ * slowly are accepted as they come, however long they keep coming.
  */
 final class ConnectionBurst {
-    /** Connections in a crowd; fewer are accepted in a few milliseconds. */
-    static final int CROWD = 16;
-    /** In which so many have to come, beside the time for which the loop may not have looked. */
-    private static final double GAP_MS = 50;
+    /** Connections that make a burst; fewer are accepted within a few milliseconds. */
+    static final int BURST_SIZE = 16;
+    /**
+     * Period in which {@link #BURST_SIZE} connections make a burst, in addition to the time for which the loop may not
+     * have accepted any.
+     */
+    private static final double BURST_PERIOD_MS = 50;
 
-    /** When the last ones came, in a ring. */
-    private final double[] cameMs = new double[CROWD];
-    private int next;
-    private double crowdSinceMs;
+    /** Accept times of the most recent connections, as a ring buffer. */
+    private final double[] acceptedMs = new double[BURST_SIZE];
+    private int nextSlot;
+    private double burstSinceMs;
 
     ConnectionBurst() {
-        Arrays.fill(cameMs, Double.NEGATIVE_INFINITY);
+        Arrays.fill(acceptedMs, Double.NEGATIVE_INFINITY);
     }
 
-    /** One more came in, which by itself had not been made by some time; returns by when it had not with the crowd. */
-    double notBeforeMs(double nowMs, double sinceMs) {
-        if (cameMs[next] < sinceMs - GAP_MS) crowdSinceMs = sinceMs;
-        cameMs[next] = nowMs;
-        next = (next + 1) % CROWD;
-        return Math.min(sinceMs, crowdSinceMs);
+    /**
+     * Records that a connection was accepted.
+     *
+     * @param nowMs the time of the accept
+     * @param sinceMs the time before which this connection alone had not been made
+     * @return the time before which it had not been made, the burst that it may belong to included
+     */
+    double recordAccept(double nowMs, double sinceMs) {
+        if (acceptedMs[nextSlot] < sinceMs - BURST_PERIOD_MS) burstSinceMs = sinceMs;
+        acceptedMs[nextSlot] = nowMs;
+        nextSlot = (nextSlot + 1) % BURST_SIZE;
+        return Math.min(sinceMs, burstSinceMs);
     }
 }
--- a/src/main/java/maplerail/front/jsonrpc/AnswerCaller.java
+++ b/src/main/java/maplerail/front/jsonrpc/AnswerStreamCaller.java
@@ -2,9 +2,9 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Tells an answer's events as notifications, each as it comes, and its end as the request's result. */
-final class AnswerCaller extends RpcCaller {
-    AnswerCaller(Session.Pending pending) {
+/** Sends each event of an answer as a notification as it arrives, and the answer's end as the request's result. */
+final class AnswerStreamCaller extends RpcCaller {
+    AnswerStreamCaller(Session.PendingRequest pending) {
         super(pending);
     }
 
@@ -18,7 +18,7 @@
                 if (data.length() > 0) data.append('\n');
                 data.append(line.startsWith("data: ") ? line.substring(6) : line.substring(5));
             }
-            if (data.length() > 0) ready = pending.notify(data.toString());
+            if (data.length() > 0) ready = pending.sendEvent(data.toString());
         }
         return ready;
     }
--- a/src/main/java/maplerail/front/jsonrpc/RpcCaller.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcCaller.java
@@ -2,11 +2,11 @@
 
 import maplerail.core.Caller;
 
-/** Words what ends a request unserved as the one final answer to its message. */
+/** Turns a refusal or a failure into the one final answer to a request. */
 abstract class RpcCaller implements Caller {
-    protected final Session.Pending pending;
+    protected final Session.PendingRequest pending;
 
-    RpcCaller(Session.Pending pending) {
+    RpcCaller(Session.PendingRequest pending) {
         this.pending = pending;
     }
 
--- a/src/main/java/maplerail/front/jsonrpc/RpcError.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcError.java
@@ -2,17 +2,23 @@
 
 import maplerail.config.Json;
 
-/** The errors of this front: JSON-RPC's own, and server codes whose data tell refused from failed. */
+/** The errors that this front sends: JSON-RPC's own, and server errors whose data distinguish refused from failed. */
 enum RpcError {
-    PARSE(-32700, "not JSON"), INVALID(-32600, "not a valid request"), NO_METHOD(-32601,
-            "no such method"), PARAMS(-32602, "not valid parameters"),
-    /** Not run; trying again does no harm. */
+    /** The frame is not valid JSON. */
+    PARSE(-32700, "not JSON"),
+    /** The JSON is not a valid request. */
+    INVALID(-32600, "not a valid request"),
+    /** The method is unknown. */
+    NO_METHOD(-32601, "no such method"),
+    /** The parameters are not valid for the method. */
+    PARAMS(-32602, "not valid parameters"),
+    /** The request has not run; a retry is harmless. */
     REFUSED(-32000, "refused"),
-    /** It may have run. */
+    /** The request may have run. */
     FAILED(-32001, "failed"),
-    /** No answer within the contract's deadline; it may have run. */
+    /** There was no answer within the contract's deadline; the request may have run. */
     DEADLINE(-32002, "no answer in time"),
-    /** The caller called it off; it may have run. */
+    /** The client cancelled the request; it may have run. */
     CANCELLED(-32003, "cancelled");
 
     private final int code;
@@ -27,7 +33,13 @@
         return answer(id, "", "");
     }
 
-    /** The message that answers a request; {@code data} is an object's text, or empty. */
+    /**
+     * Returns the error response to a request.
+     *
+     * @param id the JSON text of the request's id
+     * @param detail appended to the message, or empty
+     * @param data the JSON text of an object, or empty
+     */
     String answer(String id, String detail, String data) {
         String text = detail.isEmpty() ? message : message + ": " + detail;
         return "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":" + code + ",\"message\":"
--- a/src/main/java/maplerail/front/jsonrpc/RpcFront.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcFront.java
@@ -22,63 +22,63 @@
 import maplerail.core.RequestHandle;
 import maplerail.front.ClientListener;
 
-/** JSON-RPC 2.0 over a WebSocket, one message for each text frame, for the teams that the operator's file names. */
-public final class RpcFront implements HttpHandler, Session.Methods {
-    private static final int MOST_MESSAGE = 256 * 1024;
+/** Serves JSON-RPC 2.0 over WebSockets, one message per text frame, to the teams in the operator's tools file. */
+public final class RpcFront implements HttpHandler, Session.Dispatcher {
+    private static final int MAX_MESSAGE_BYTES = 256 * 1024;
 
     private final ToolsConfig config;
-    private final Tools tools;
-    private final Answers answers;
+    private final ToolMethods toolMethods;
+    private final AnswerMethods answerMethods;
     private final Lifecycle lifecycle;
     private final Set<Session> sessions = new HashSet<>();
     private final Set<WebSocketChannel> channels = new HashSet<>();
     private ClientListener listener;
 
-    /** Makes a front before the platform's broker and one broker for each service of tools. */
+    /** Makes a front for the platform's broker and for one broker per tool service. */
     public RpcFront(ToolsConfig config, Map<String, Broker> services, Broker platform, NameTables names,
             Lifecycle lifecycle) {
         this.config = config;
-        this.tools = new Tools(config, services);
-        this.answers = new Answers(platform, names);
+        this.toolMethods = new ToolMethods(config, services);
+        this.answerMethods = new AnswerMethods(platform, names);
         this.lifecycle = lifecycle;
     }
 
-    /** Tells through which listener the clients come. */
-    public void setListener(ClientListener in) {
-        listener = in;
+    /** Sets the listener that tracks the client connections. */
+    public void setListener(ClientListener listener) {
+        this.listener = listener;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) throws Exception {
-        listener.entered(exchange);
+        listener.onRequestHead(exchange);
         String owner = exchange.getRequestHeaders().getFirst("Req-Owner");
         int team = config.teams().stream().map(ToolsConfig.Team::name).toList().indexOf(owner);
         if (!exchange.getRequestPath().equals(config.path())) {
             exchange.setStatusCode(404).endExchange();
         } else if (team < 0) {
             exchange.setStatusCode(403).endExchange();
-        } else if (!open()) {
+        } else if (!acceptsRequests()) {
             exchange.setStatusCode(503).endExchange();
         } else {
-            WebSocketConnectionCallback opened = (upgraded, channel) -> open(channel, team);
-            listener.keep(exchange); // a session may be quiet for as long as its client likes
-            new WebSocketProtocolHandshakeHandler(opened).handleRequest(exchange);
+            WebSocketConnectionCallback onUpgrade = (upgrade, channel) -> openSession(channel, team);
+            listener.onUpgraded(exchange); // no idle timeout: a session may be quiet for any length of time
+            new WebSocketProtocolHandshakeHandler(onUpgrade).handleRequest(exchange);
         }
     }
 
-    private void open(WebSocketChannel channel, int team) {
+    private void openSession(WebSocketChannel channel, int team) {
         Session session = new Session(channel, team, this);
         sessions.add(session);
         channels.add(channel);
         channel.addCloseTask(closed -> {
             sessions.remove(session);
             channels.remove(closed);
-            session.gone();
+            session.onClosed();
         });
         channel.getReceiveSetter().set(new AbstractReceiveListener() {
             @Override
             protected long getMaxTextBufferSize() {
-                return MOST_MESSAGE;
+                return MAX_MESSAGE_BYTES;
             }
 
             @Override
@@ -87,50 +87,50 @@
             }
 
             @Override
-            protected void onFullTextMessage(WebSocketChannel from, BufferedTextMessage message) {
-                session.hear(message.getData());
+            protected void onFullTextMessage(WebSocketChannel source, BufferedTextMessage message) {
+                session.onMessage(message.getData());
             }
 
             @Override
-            protected void onFullBinaryMessage(WebSocketChannel from, BufferedBinaryMessage message) {
+            protected void onFullBinaryMessage(WebSocketChannel source, BufferedBinaryMessage message) {
                 message.getData().free();
-                WebSockets.sendClose(new CloseMessage(CloseMessage.WRONG_CODE, "text frames only"), from, null);
+                WebSockets.sendClose(new CloseMessage(CloseMessage.WRONG_CODE, "text frames only"), source, null);
             }
         });
         channel.resumeReceives();
     }
 
     @Override
-    public RequestHandle start(Session session, int team, RpcMessage message, Session.Pending pending) {
+    public RequestHandle dispatch(Session session, int team, RpcMessage message, Session.PendingRequest pending) {
         switch (message.method()) {
             case "tools/call" -> {
-                return tools.call(message, team, pending);
+                return toolMethods.call(message, team, pending);
             }
             case "answers/stream" -> {
-                return answers.start(message, config.teams().get(team).name(), pending);
+                return answerMethods.start(message, config.teams().get(team).name(), pending);
             }
-            case "tools/list" -> pending.finish(result(pending, tools.list()));
+            case "tools/list" -> pending.finish(result(pending, toolMethods.list()));
             case "ping" -> pending.finish(result(pending, "{}"));
             default -> pending.finish(RpcError.NO_METHOD.answer(pending.id));
         }
         return null;
     }
 
-    private static String result(Session.Pending pending, String value) {
+    private static String result(Session.PendingRequest pending, String value) {
         return "{\"jsonrpc\":\"2.0\",\"id\":" + pending.id + ",\"result\":" + value + "}";
     }
 
     @Override
-    public boolean open() {
+    public boolean acceptsRequests() {
         return lifecycle.phase().acceptsRequests() && lifecycle.phase() != Phase.STARTING;
     }
 
-    /** Requests that wait for their final answer. */
+    /** Returns the number of requests that wait for their final answer. */
     public int openRequests() {
         return sessions.stream().mapToInt(Session::openRequests).sum();
     }
 
-    /** Says goodbye to all clients, for a program that is about to stop. */
+    /** Sends a close frame to all clients; for a program that is about to stop. */
     public void close() {
         for (WebSocketChannel channel : List.copyOf(channels)) {
             WebSockets.sendClose(new CloseMessage(CloseMessage.GOING_AWAY, "stopping"), channel, null);
--- a/src/main/java/maplerail/front/jsonrpc/Session.java
+++ b/src/main/java/maplerail/front/jsonrpc/Session.java
@@ -12,65 +12,65 @@
 import maplerail.core.Caller;
 import maplerail.core.RequestHandle;
 
-/** One client's connection: answers that stream and tool calls, side by side. */
+/** The connection of one client, which carries streaming answers and tool calls concurrently. */
 final class Session {
-    private static final int MOST_OPEN = 64; // requests of one connection at once
-    private static final int SLOW_BYTES = 64 * 1024; // not taken by the client: streams wait
-    private static final int DEAD_BYTES = 1024 * 1024; // not taken by the client: it is given up
-    private static final double BUSY_MS = 100;
+    private static final int MAX_OPEN_REQUESTS = 64; // on one connection
+    private static final int PAUSE_THRESHOLD_BYTES = 64 * 1024; // unsent: above this, streams pause
+    private static final int MAX_UNSENT_BYTES = 1024 * 1024; // unsent: above this, the connection is closed
+    private static final double RETRY_AFTER_MS = 100;
 
     private final WebSocketChannel channel;
     private final int team;
-    private final Methods methods;
-    private final Map<String, Pending> open = new HashMap<>();
-    private int waitingBytes;
+    private final Dispatcher dispatcher;
+    private final Map<String, PendingRequest> pendingRequests = new HashMap<>();
+    private int unsentBytes;
     private boolean closed;
 
-    /** What a session asks of the program behind it. */
-    interface Methods {
-        /** Starts a request; {@code null} if it was answered at once. */
-        RequestHandle start(Session session, int team, RpcMessage message, Pending pending);
+    /** Runs the requests of a session. */
+    interface Dispatcher {
+        /** Starts a request; returns {@code null} if it was answered at once. */
+        RequestHandle dispatch(Session session, int team, RpcMessage message, PendingRequest pending);
 
-        /** True while new requests are wanted. */
-        boolean open();
+        /** Returns true while new requests are accepted. */
+        boolean acceptsRequests();
     }
 
-    Session(WebSocketChannel channel, int team, Methods methods) {
+    Session(WebSocketChannel channel, int team, Dispatcher dispatcher) {
         this.channel = channel;
         this.team = team;
-        this.methods = methods;
+        this.dispatcher = dispatcher;
     }
 
-    void hear(String text) {
+    void onMessage(String text) {
         RpcMessage message;
         try {
             message = RpcMessage.parse(text);
         } catch (RpcMessage.Malformed e) {
-            say(e.answer());
+            send(e.answer());
             return;
         }
         if (message.method().equals("notifications/cancelled")) {
             cancel(message);
         } else if (message.id() != null) {
-            request(message);
+            startRequest(message);
         }
-        // Any other notification asks for no answer.
+        // Any other notification is ignored and gets no answer.
     }
 
-    private void request(RpcMessage message) {
-        if (open.containsKey(message.id())) {
-            // An answer under this id would be taken for the first one's final answer.
-            say(RpcError.INVALID.answer("null", "id is in flight", "{\"duplicateId\":" + message.id() + "}"));
-        } else if (!methods.open()) {
-            say(RpcError.refused(message.id(), "draining", BUSY_MS));
-        } else if (open.size() >= MOST_OPEN) {
-            say(RpcError.refused(message.id(), "too many requests on this connection", BUSY_MS));
+    private void startRequest(RpcMessage message) {
+        if (pendingRequests.containsKey(message.id())) {
+            // The client would take an answer with this id for the final answer to the first request.
+            send(RpcError.INVALID.answer("null", "id is in flight", "{\"duplicateId\":" + message.id() + "}"));
+        } else if (!dispatcher.acceptsRequests()) {
+            send(RpcError.refused(message.id(), "draining", RETRY_AFTER_MS));
+        } else if (pendingRequests.size() >= MAX_OPEN_REQUESTS) {
+            send(RpcError.refused(message.id(), "too many requests on this connection", RETRY_AFTER_MS));
         } else {
-            Pending pending = new Pending(message.id());
-            open.put(message.id(), pending);
+            PendingRequest pending = new PendingRequest(message.id());
+            pendingRequests.put(message.id(), pending);
             RequestHandle handle;
             try {
-                handle = methods.start(this, team, message, pending);
+                handle = dispatcher.dispatch(this, team, message, pending);
             } catch (ConfigException e) {
                 pending.finish(RpcError.PARAMS.answer(message.id(), e.getMessage(), ""));
                 return;
@@ -81,74 +81,74 @@
 
     private void cancel(RpcMessage message) {
         String id = Json.fields(message.params()).get("requestId");
-        Pending pending = id == null ? null : open.get(id);
+        PendingRequest pending = id == null ? null : pendingRequests.get(id);
         if (pending == null) return;
         pending.finish(RpcError.CANCELLED.failed(id, "cancelled"));
         if (pending.handle != null) pending.handle.cancel();
     }
 
-    /** The client has left: nobody waits for anything here. */
-    void gone() {
+    /** Abandons all open requests, as the client has left. */
+    void onClosed() {
         if (closed) return;
         closed = true;
-        for (Pending pending : List.copyOf(open.values())) {
-            pending.over = true;
+        for (PendingRequest pending : List.copyOf(pendingRequests.values())) {
+            pending.finished = true;
             if (pending.handle != null) pending.handle.cancel();
         }
-        open.clear();
+        pendingRequests.clear();
     }
 
     int openRequests() {
-        return open.size();
+        return pendingRequests.size();
     }
 
-    void say(String message) {
+    void send(String message) {
         if (closed) return;
         int size = message.length();
-        waitingBytes += size;
-        if (waitingBytes > DEAD_BYTES) {
+        unsentBytes += size;
+        if (unsentBytes > MAX_UNSENT_BYTES) {
             org.xnio.IoUtils.safeClose(channel);
-            gone();
+            onClosed();
             return;
         }
         WebSockets.sendText(message, channel, new WebSocketCallback<Void>() {
             @Override
-            public void complete(WebSocketChannel done, Void none) {
-                waitingBytes -= size;
-                if (waitingBytes <= SLOW_BYTES / 2) {
-                    for (Pending pending : List.copyOf(open.values())) pending.goOn();
+            public void complete(WebSocketChannel sender, Void none) {
+                unsentBytes -= size;
+                if (unsentBytes <= PAUSE_THRESHOLD_BYTES / 2) {
+                    for (PendingRequest pending : List.copyOf(pendingRequests.values())) pending.resume();
                 }
             }
 
             @Override
-            public void onError(WebSocketChannel done, Void none, Throwable error) {
+            public void onError(WebSocketChannel sender, Void none, Throwable error) {
                 org.xnio.IoUtils.safeClose(channel);
-                gone();
+                onClosed();
             }
         });
     }
 
-    boolean slow() {
-        return waitingBytes > SLOW_BYTES;
+    boolean isBackedUp() {
+        return unsentBytes > PAUSE_THRESHOLD_BYTES;
     }
 
     /** A request that waits for its one final answer. */
-    final class Pending {
+    final class PendingRequest {
         final String id;
         private RequestHandle handle;
         private boolean paused;
-        private boolean over;
+        private boolean finished;
 
-        Pending(String id) {
+        PendingRequest(String id) {
             this.id = id;
         }
 
-        /** Gives the final answer; any later one is dropped. */
+        /** Sends the final answer; any later one is dropped. */
         void finish(String answer) {
-            if (over) return;
-            over = true;
-            open.remove(id);
-            say(answer);
+            if (finished) return;
+            finished = true;
+            pendingRequests.remove(id);
+            send(answer);
         }
 
         void finish(Caller.Why why, boolean refused, double retryAfterMs) {
@@ -162,16 +162,16 @@
             });
         }
 
-        /** Tells a piece of an answer that streams; false if the client should be waited for. */
-        boolean notify(String data) {
-            if (over) return true;
-            say("{\"jsonrpc\":\"2.0\",\"method\":\"answers/event\",\"params\":{\"id\":" + id + ",\"data\":"
+        /** Sends an event of a streaming answer; returns false to pause the stream until the client catches up. */
+        boolean sendEvent(String data) {
+            if (finished) return true;
+            send("{\"jsonrpc\":\"2.0\",\"method\":\"answers/event\",\"params\":{\"id\":" + id + ",\"data\":"
                     + Json.quote(data) + "}}");
-            paused = slow();
+            paused = isBackedUp();
             return !paused;
         }
 
-        private void goOn() {
+        private void resume() {
             if (!paused || handle == null) return;
             paused = false;
             handle.writable();
--- a/src/main/java/maplerail/front/jsonrpc/Tools.java
+++ b/src/main/java/maplerail/front/jsonrpc/ToolMethods.java
@@ -13,19 +13,19 @@
 import maplerail.core.RequestHandle;
 import maplerail.net.ToolPayload;
 
-/** The methods tools/call and tools/list: calls go to the broker of the tool's service. */
-final class Tools {
-    private static final double TOKEN_BYTES = 4;
+/** Implements the methods tools/call and tools/list; calls go to the broker of the tool's service. */
+final class ToolMethods {
+    private static final double BYTES_PER_TOKEN = 4;
 
     private final ToolsConfig config;
     private final Map<String, Broker> services;
 
-    Tools(ToolsConfig config, Map<String, Broker> services) {
+    ToolMethods(ToolsConfig config, Map<String, Broker> services) {
         this.config = config;
         this.services = services;
     }
 
-    RequestHandle call(RpcMessage message, int team, Session.Pending pending) {
+    RequestHandle call(RpcMessage message, int team, Session.PendingRequest pending) {
         JsonValue params = Session.params(message);
         String name = params.require("name").text();
         ToolsConfig.Tool tool = config.tools().get(name);
@@ -39,10 +39,11 @@
         byte[] body = ("{\"jsonrpc\":\"2.0\",\"id\":" + Json.quote(id)
                 + ",\"method\":\"tools/call\",\"params\":{\"name\":"
                 + Json.quote(name) + ",\"arguments\":" + arguments + "}}").getBytes(StandardCharsets.UTF_8);
-        int size = arguments.getBytes(StandardCharsets.UTF_8).length;
-        ServiceRequest request = new ServiceRequest(id, tool.contractIndex(), team, 0, size / TOKEN_BYTES, 0, 0,
+        int argumentBytes = arguments.getBytes(StandardCharsets.UTF_8).length;
+        ServiceRequest request = new ServiceRequest(id, tool.contractIndex(), team, 0, argumentBytes / BYTES_PER_TOKEN,
+                0, 0,
                 contract.deadlineMs(),
-                contract.maxReplyBytes() / TOKEN_BYTES, 0, false, size,
+                contract.maxReplyBytes() / BYTES_PER_TOKEN, 0, false, argumentBytes,
                 new ToolPayload(config.services().get(tool.service()).path(), body, contract.maxReplyBytes()));
         return services.get(tool.service()).submit(request, new ToolCaller(pending));
     }
--- a/src/main/java/maplerail/front/jsonrpc/package-info.java
+++ b/src/main/java/maplerail/front/jsonrpc/package-info.java
@@ -1,2 +1,2 @@
-/** The JSON-RPC front for tool calls and for requests. */
+/** The JSON-RPC front, for tool calls and streaming answers. */
 package maplerail.front.jsonrpc;
--- a/src/main/java/maplerail/front/package-info.java
+++ b/src/main/java/maplerail/front/package-info.java
@@ -1,2 +1,2 @@
-/** What all listeners share: clients' connections, turns between requests, and accept. */
+/** Code shared by all listeners: client connections, request throttling, and accept. */
 package maplerail.front;
--- a/src/main/java/maplerail/front/platform/Answer.java
+++ b/src/main/java/maplerail/front/platform/Answer.java
@@ -18,127 +18,127 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.conduits.StreamSourceConduit;
 
-/** A client's open request: relays a stream to it as it comes, or words the one final answer. */
+/** The response to one open HTTP request: relays the stream as it arrives, or sends the one final answer. */
 final class Answer implements Caller {
     private static final Logger LOG = LoggerFactory.getLogger(Answer.class);
 
-    /** By what a client is held to have left. */
+    /** How it was detected that a client has left. */
     private enum Left {
         END_OF_INPUT, READ_FAILED, WRITE_FAILED
     }
 
-    private static final int MOST_WAITING = 64 * 1024; // bytes that the client has not taken yet
+    private static final int MAX_PENDING_BYTES = 64 * 1024; // that the client has not read yet
 
     private final HttpServerExchange exchange;
-    private final EarlyBytes early;
+    private final PipelinedBytes pipelined;
     private final ServiceCounters counters;
-    private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
-    private int waitingBytes;
+    private final ArrayDeque<ByteBuffer> pendingChunks = new ArrayDeque<>();
+    private int pendingBytes;
     private RequestHandle handle;
     private StreamSinkChannel sink;
     private boolean paused;
     private boolean ending;
-    private boolean over;
+    private boolean finished;
 
-    Answer(HttpServerExchange exchange, EarlyBytes early, ServiceCounters counters) {
+    Answer(HttpServerExchange exchange, PipelinedBytes pipelined, ServiceCounters counters) {
         this.exchange = exchange;
-        this.early = early;
+        this.pipelined = pipelined;
         this.counters = counters;
     }
 
-    /** From now on the client's leaving is told to this handle. */
-    void hold(RequestHandle held) {
-        handle = held;
+    /** Sets the handle that is notified when the client leaves. */
+    void setHandle(RequestHandle requestHandle) {
+        handle = requestHandle;
     }
 
-    boolean over() {
-        return over;
+    boolean isFinished() {
+        return finished;
     }
 
     /**
-     * Between a request and its answer nothing is read from a client, so nobody would see it leave: look for
-     * the end of its side here, at once and from now on. The framing's own channel says that too, at the end of the
-     * body.
+     * Checks now, and from now on, whether the client has closed its side of the connection. The server reads nothing
+     * between a request and its answer and would not notice. This reads the raw source, as the channel of the HTTP
+     * framing also reports an end of input at the end of the body.
      */
-    void watch() {
+    void watchForDisconnect() {
         if (!(exchange.getConnection() instanceof HttpServerConnection connection)) return;
-        StreamSourceConduit raw = connection.getOriginalSourceConduit();
-        connection.getChannel().getSourceChannel().setReadListener(c -> look(connection, raw));
-        look(connection, raw);
-        if (!over) raw.resumeReads();
+        StreamSourceConduit rawSource = connection.getOriginalSourceConduit();
+        connection.getChannel().getSourceChannel().setReadListener(channel -> pollInput(connection, rawSource));
+        pollInput(connection, rawSource);
+        if (!finished) rawSource.resumeReads();
     }
 
     @Override
     public boolean hasDisconnected() {
-        boolean watched = !over && exchange.getConnection() instanceof HttpServerConnection;
-        if (watched) {
+        boolean canRead = !finished && exchange.getConnection() instanceof HttpServerConnection;
+        if (canRead) {
             HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
-            look(connection, connection.getOriginalSourceConduit());
+            pollInput(connection, connection.getOriginalSourceConduit());
         }
-        return over;
+        return finished;
     }
 
-    private void look(HttpServerConnection connection, StreamSourceConduit raw) {
-        if (over) {
-            raw.suspendReads(); // what has come is the next request's: the server reads it after this one
+    private void pollInput(HttpServerConnection connection, StreamSourceConduit rawSource) {
+        if (finished) {
+            rawSource.suspendReads(); // further bytes belong to the next request, which the server reads
             return;
         }
         PooledByteBuffer received = connection.getByteBufferPool().allocate();
         try {
-            int count = raw.read(received.getBuffer());
-            if (count < 0) left(Left.END_OF_INPUT);
+            int count = rawSource.read(received.getBuffer());
+            if (count < 0) onClientLeft(Left.END_OF_INPUT);
             if (count <= 0) return;
             received.getBuffer().flip();
-            // Not gone but early. Reading goes on, as the end of its side would stand behind that.
-            if (!early.add(connection, received.getBuffer())) raw.suspendReads();
+            // The client is pipelining. Reading continues, as an end of input would only show behind these bytes.
+            if (!pipelined.add(connection, received.getBuffer())) rawSource.suspendReads();
         } catch (IOException e) {
-            left(Left.READ_FAILED);
+            onClientLeft(Left.READ_FAILED);
         } finally {
             received.close();
         }
     }
 
-    /** No answer is owed any more. */
+    /** Marks the request as finished: nothing more is sent for it. */
     private void finish() {
-        over = true;
-        if (exchange.getConnection() instanceof HttpServerConnection connection) early.forget(connection);
+        finished = true;
+        if (exchange.getConnection() instanceof HttpServerConnection connection) pipelined.release(connection);
     }
 
-    private void left(Left how) {
-        if (over) return;
+    private void onClientLeft(Left reason) {
+        if (finished) return;
         finish();
-        counters.count(how);
+        counters.count(reason);
         IoUtils.safeClose(exchange.getConnection());
         if (handle != null) handle.cancel();
     }
 
     @Override
     public boolean event(byte[] event) {
-        if (over) return true;
+        if (finished) return true;
         if (sink == null) {
             exchange.setStatusCode(200);
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
             exchange.getResponseHeaders().put(Headers.CACHE_CONTROL, "no-cache");
-            // Said outright: where the connection ends after the answer, only this gives a stream a last chunk.
+            // Explicit, as only this gives a stream a last chunk where the connection closes after the answer.
             exchange.getResponseHeaders().put(Headers.TRANSFER_ENCODING, "chunked");
             sink = exchange.getResponseChannel();
-            sink.getWriteSetter().set(c -> write());
+            sink.getWriteSetter().set(channel -> writePending());
         }
-        waiting.add(ByteBuffer.wrap(event));
-        waitingBytes += event.length;
-        if (waiting.size() == 1) write();
-        paused = waitingBytes > MOST_WAITING;
+        pendingChunks.add(ByteBuffer.wrap(event));
+        pendingBytes += event.length;
+        if (pendingChunks.size() == 1) writePending();
+        paused = pendingBytes > MAX_PENDING_BYTES;
         return !paused;
     }
 
-    private void write() {
-        if (over) return;
+    private void writePending() {
+        if (finished) return;
         try {
-            while (!waiting.isEmpty()) {
-                ByteBuffer first = waiting.peek();
+            while (!pendingChunks.isEmpty()) {
+                ByteBuffer first = pendingChunks.peek();
                 int count = sink.write(first);
-                waitingBytes -= count;
-                if (!first.hasRemaining()) waiting.poll();
+                pendingBytes -= count;
+                if (!first.hasRemaining()) pendingChunks.poll();
                 else if (count == 0) {
                     sink.resumeWrites();
                     return;
@@ -150,46 +150,46 @@
             }
             if (!sink.flush()) {
                 sink.resumeWrites();
-                if (over) sink.getWriteSetter().set(c -> flush());
+                if (finished) sink.getWriteSetter().set(channel -> flushRest());
                 return;
             }
             sink.suspendWrites();
         } catch (IOException e) {
-            left(Left.WRITE_FAILED);
+            onClientLeft(Left.WRITE_FAILED);
             return;
         }
-        if (paused && !over && waitingBytes <= MOST_WAITING / 2) {
+        if (paused && !finished && pendingBytes <= MAX_PENDING_BYTES / 2) {
             paused = false;
             handle.writable();
         }
     }
 
-    private void flush() {
+    private void flushRest() {
         try {
             if (sink.flush()) sink.suspendWrites();
         } catch (IOException e) {
-            LOG.info("request {}: the end of its answer could not be written: {}", id(), e.getMessage());
+            LOG.info("request {}: writing the end of the response failed: {}", requestId(), e.getMessage());
             IoUtils.safeClose(exchange.getConnection());
         }
     }
 
     @Override
     public void end() {
-        if (over) return;
+        if (finished) return;
         if (sink == null) event(new byte[0]);
         ending = true;
-        write();
+        writePending();
     }
 
     @Override
     public void broken() {
-        if (over) return;
+        if (finished) return;
         finish();
-        tellWhatStandsBehind();
-        // What is still waiting goes out if it can at once; then the connection ends with no last chunk.
+        logPipelinedRequests();
+        // Sends pending bytes as far as possible without waiting, then closes the connection without a last chunk.
         try {
-            while (!waiting.isEmpty() && sink.write(waiting.peek()) > 0) {
-                if (!waiting.peek().hasRemaining()) waiting.poll();
+            while (!pendingChunks.isEmpty() && sink.write(pendingChunks.peek()) > 0) {
+                if (!pendingChunks.peek().hasRemaining()) pendingChunks.poll();
             }
             sink.flush();
         } catch (IOException e) {
@@ -198,38 +198,42 @@
         IoUtils.safeClose(exchange.getConnection());
     }
 
-    /** The connection is about to end: requests that came behind this one go with it, and have no other line. */
-    private void tellWhatStandsBehind() {
+    /**
+     * Logs the requests that were pipelined after this one: closing the connection drops them, and no other log line
+     * names them.
+     */
+    private void logPipelinedRequests() {
         if (!(exchange.getConnection() instanceof HttpServerConnection connection)) return;
-        List<String> behind = EarlyBytes.ids(connection);
-        if (!behind.isEmpty()) LOG.info("request {}: ends its connection, and with it requests {}", id(), behind);
+        List<String> pipelinedIds = PipelinedBytes.requestIds(connection);
+        if (!pipelinedIds.isEmpty())
+            LOG.info("request {}: closing its connection drops the pipelined requests {}", requestId(), pipelinedIds);
     }
 
-    private String id() {
+    private String requestId() {
         return exchange.getRequestHeaders().getFirst("Req-Id");
     }
 
     @Override
     public void refuse(Why why, double retryAfterMs) {
         if (retryAfterMs > 0) {
-            String seconds = String.format(Locale.ROOT, "%.3f", retryAfterMs / 1_000);
-            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, seconds);
+            String delaySeconds = String.format(Locale.ROOT, "%.3f", retryAfterMs / 1_000);
+            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, delaySeconds);
         }
-        say(why == Why.INVALID ? 413 : 503, "refused, a repeat does no harm");
+        respond(why == Why.INVALID ? 413 : 503, "refused, a repeat does no harm");
     }
 
     @Override
     public void fail(Why why) {
         switch (why) {
-            case INVALID -> say(400, "not a valid request");
-            case DUPLICATE -> say(409, "Req-Id: open already");
-            case DEADLINE -> say(504, "no answer in time");
-            default -> say(502, "failed, it may have run");
+            case INVALID -> respond(400, "not a valid request");
+            case DUPLICATE -> respond(409, "Req-Id: open already");
+            case DEADLINE -> respond(504, "no answer in time");
+            default -> respond(502, "failed, it may have run");
         }
     }
 
-    void say(int status, String message) {
-        if (over) return;
+    void respond(int status, String message) {
+        if (finished) return;
         finish();
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
--- a/src/main/java/maplerail/front/platform/PlatformFront.java
+++ b/src/main/java/maplerail/front/platform/PlatformFront.java
@@ -15,108 +15,114 @@
 import maplerail.core.Lifecycle.Phase;
 import maplerail.core.Loop;
 import maplerail.front.ClientListener;
-import maplerail.front.RequestTurns;
+import maplerail.front.RequestThrottle;
 import maplerail.policy.ProtocolRules;
 import maplerail.policy.ProtocolRules.Reason;
 import org.xnio.IoUtils;
 
-/** The platform's protocol before the broker: readiness, and one request for each exchange. */
+/** Handles the platform's HTTP protocol in front of the broker: the readiness check, and one request per exchange. */
 public final class PlatformFront implements HttpHandler {
-    /** The most bytes that a request's body may hold. */
-    public static final int MOST_BYTES = 256 * 1024;
+    /** The largest size of a request's body, in bytes. */
+    public static final int MAX_BODY_BYTES = 256 * 1024;
 
     private final Broker broker;
-    private final RequestReader reader;
+    private final RequestParser parser;
     private final Lifecycle lifecycle;
-    private final RequestTurns turns;
-    /** Of all classes: for which a request may arrive at most, whatever its client says that it waits. */
-    private final double longestDeadlineMs;
-    private final EarlyBytes early = new EarlyBytes();
+    private final RequestThrottle throttle;
+    /** The longest deadline of all classes; a request may take no longer to arrive, whatever its client asks for. */
+    private final double maxDeadlineMs;
+    private final PipelinedBytes pipelined = new PipelinedBytes();
     private ClientListener listener;
 
-    /** Makes a front for clients that name classes and tenants so, and wait for so long at most. */
-    public PlatformFront(Broker broker, NameTables names, Lifecycle lifecycle, Loop loop, double longestDeadlineMs) {
+    /**
+     * Makes a front.
+     *
+     * @param names the names of classes and tenants that clients use
+     * @param maxDeadlineMs the longest deadline of all classes
+     */
+    public PlatformFront(Broker broker, NameTables names, Lifecycle lifecycle, Loop loop, double maxDeadlineMs) {
         this.broker = broker;
-        this.reader = new RequestReader(names);
+        this.parser = new RequestParser(names);
         this.lifecycle = lifecycle;
-        this.turns = new RequestTurns(loop);
-        this.longestDeadlineMs = longestDeadlineMs;
+        this.throttle = new RequestThrottle(loop);
+        this.maxDeadlineMs = maxDeadlineMs;
     }
 
-    /** Tells through which listener the clients come. */
-    public void setListener(ClientListener in) {
-        listener = in;
+    /** Sets the listener that tracks the client connections. */
+    public void setListener(ClientListener listener) {
+        this.listener = listener;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        listener.entered(exchange);
-        if (turns.handleNow()) {
+        listener.onRequestHead(exchange);
+        if (throttle.tryHandleNow()) {
             handle(exchange);
             return;
         }
-        listener.waits(exchange);
-        exchange.dispatch(turns, this::handle);
+        listener.onQueued(exchange);
+        exchange.dispatch(throttle, this::handle);
     }
 
     private void handle(HttpServerExchange exchange) {
-        listener.turnCame(exchange);
+        listener.onDequeued(exchange);
         ServerConnection connection = exchange.getConnection();
         if (lifecycle.phase().isShuttingDown()) exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
-        Answer answer = new Answer(exchange, early, broker.counters());
+        Answer answer = new Answer(exchange, pipelined, broker.counters());
         if (exchange.getRequestURI().equals("/-/ready")) {
-            answer.say(lifecycle.phase() == Phase.READY ? 200 : 503, "");
+            answer.respond(lifecycle.phase() == Phase.READY ? 200 : 503, "");
         } else if (exchange.getRequestURI().startsWith("/-/")) {
-            answer.say(404, "no such path");
+            answer.respond(404, "no such path");
         } else if (!exchange.getRequestMethod().equals(Methods.POST)) {
-            answer.say(405, "POST only");
-        } else if (exchange.getRequestContentLength() > MOST_BYTES) {
+            answer.respond(405, "POST only");
+        } else if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
             exchange.setPersistent(false);
-            answer.say(413, "the body is too large");
+            answer.respond(413, "the body is too large");
         } else {
-            expectBody(exchange);
-            // A body in chunks is read somewhat further: ended in the middle, its client would not see the answer.
-            exchange.setMaxEntitySize(4 * MOST_BYTES);
+            extendReceiveTimeout(exchange);
+            // Chunked bodies are read somewhat beyond the limit: a client cut off within one would not see the answer.
+            exchange.setMaxEntitySize(4 * MAX_BODY_BYTES);
             exchange.getRequestReceiver().receiveFullBytes(
-                    (whole, body) -> whole.dispatch(SameThreadExecutor.INSTANCE, () -> take(whole, answer, body)),
-                    (broken, error) -> {
-                        if (error instanceof RequestTooBigException) answer.say(413, "the body is too large");
+                    (received, body) -> received.dispatch(SameThreadExecutor.INSTANCE,
+                            () -> submit(received, answer, body)),
+                    (failed, error) -> {
+                        if (error instanceof RequestTooBigException) answer.respond(413, "the body is too large");
                         else IoUtils.safeClose(connection);
                     });
         }
     }
 
-    private void expectBody(HttpServerExchange exchange) {
+    private void extendReceiveTimeout(HttpServerExchange exchange) {
         try {
-            listener.arriving(exchange, Math.min(longestDeadlineMs, RequestReader.budgetMs(exchange)));
-        } catch (RequestReader.BadRequest e) {
-            return; // told once the body is there
+            listener.extendReceiveTimeout(exchange, Math.min(maxDeadlineMs, RequestParser.budgetMs(exchange)));
+        } catch (RequestParser.BadRequest e) {
+            return; // reported once the body has arrived
         }
     }
 
-    private void take(HttpServerExchange exchange, Answer answer, byte[] body) {
-        listener.open(exchange);
-        if (body.length > MOST_BYTES) {
-            answer.say(413, "the body is too large");
+    private void submit(HttpServerExchange exchange, Answer answer, byte[] body) {
+        listener.onRequestReceived(exchange);
+        if (body.length > MAX_BODY_BYTES) {
+            answer.respond(413, "the body is too large");
             return;
         }
         ServiceRequest request;
         try {
-            request = reader.read(exchange, body, listener.sentMs(exchange));
-        } catch (RequestReader.BadRequest e) {
-            answer.say(400, e.getMessage());
+            request = parser.parse(exchange, body, listener.earliestSentMs(exchange));
+        } catch (RequestParser.BadRequest e) {
+            answer.respond(400, e.getMessage());
             return;
         }
-        // Guards against clients that go on using a connection which a long stream kept open: what is taken now may
-        // outlast the time that is left to end it, and a repeat is served by another gateway.
+        // Guards against clients that keep using a connection which a long stream has kept open: a request taken now
+        // may outlast the time left for the shutdown, and a repeat is served by another gateway.
         Reason verdict = ProtocolRules.checkAccept(!lifecycle.phase().acceptsRequests());
         if (verdict != Reason.ALLOWED) {
             broker.counters().count(verdict);
             answer.refuse(Caller.Why.OVERLOAD, 0);
             return;
         }
-        // Whoever sent a request and left again must not be served before anybody looks.
-        answer.watch();
-        if (!answer.over()) answer.hold(broker.submit(request, answer));
+        // A client that has already left must be detected before its request is served.
+        answer.watchForDisconnect();
+        if (!answer.isFinished()) answer.setHandle(broker.submit(request, answer));
     }
 }
--- a/src/main/java/maplerail/front/platform/package-info.java
+++ b/src/main/java/maplerail/front/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's protocol for clients: one request for each HTTP exchange. */
+/** The platform's HTTP protocol for clients: one request per exchange. */
 package maplerail.front.platform;
--- a/src/test/java/maplerail/cli/RequestLogIT.java
+++ b/src/test/java/maplerail/cli/RequestLogIT.java
@@ -38,7 +38,7 @@
             take(streams).reset();
             assertThat(World.readAll(client.getInputStream())).doesNotContain("\r\n0\r\n");
             await("told", () -> gateway.log().contains("request a1 kind 0 broken (RESET)"));
-            assertThat(gateway.log()).contains("request a1: ends its connection, and with it requests [a2]");
+            assertThat(gateway.log()).contains("request a1: closing its connection drops the pipelined requests [a2]");
         }
     }
 }
--- a/src/test/java/maplerail/front/ArrivalLogTest.java
+++ b/src/test/java/maplerail/front/ArrivalLogTest.java
@@ -10,26 +10,26 @@
 
     @Test
     void aRequestInPiecesRunsFromItsFirstByte() {
-        log.read(100, 10);
-        log.read(50, 30);
-        log.read(50, 60);
+        log.onRead(100, 10);
+        log.onRead(50, 30);
+        log.onRead(50, 60);
         assertThat(log.notBeforeMs()).isEqualTo(10);
         log.requestEnded(0);
-        log.read(20, 500);
+        log.onRead(20, 500);
         assertThat(log.notBeforeMs()).isEqualTo(500);
     }
 
     @Test
     void aRequestThatWasReadBehindAnotherRunsFromItsOwnFirstByte() {
-        log.read(100, 10);
-        log.read(100, 30);
-        log.read(100, 60);
+        log.onRead(100, 10);
+        log.onRead(100, 30);
+        log.onRead(100, 60);
         log.requestEnded(150);
         assertThat(log.notBeforeMs()).as("its first byte is the 150th").isEqualTo(30);
         log.requestEnded(100);
         assertThat(log.notBeforeMs()).isEqualTo(60);
         log.requestEnded(0);
-        log.read(1, 70);
+        log.onRead(1, 70);
         assertThat(log.notBeforeMs()).isEqualTo(70);
     }
 
@@ -43,16 +43,16 @@
     /** Guards against memory that grows with each message of a session that lasts. */
     @Test
     void aConnectionThatIsNoLongerOneOfRequestsIsNotNoted() {
-        log.read(10, 1);
+        log.onRead(10, 1);
         log.stop();
-        for (int i = 0; i < 100; i++) log.read(10, 20 * i);
+        for (int i = 0; i < 100; i++) log.onRead(10, 20 * i);
         assertThat(log.size()).isZero();
     }
 
     @Test
     void piecesOfRequestsThatEndedAreForgotten() {
         for (int i = 0; i < 100; i++) {
-            log.read(10, 20 * i);
+            log.onRead(10, 20 * i);
             log.requestEnded(5);
             assertThat(log.size()).isLessThanOrEqualTo(2);
         }
--- a/src/test/java/maplerail/front/ConnectionBurstTest.java
+++ b/src/test/java/maplerail/front/ConnectionBurstTest.java
@@ -13,21 +13,21 @@
     @Test
     void eachOfACrowdMayHaveWaitedSinceItBegan() {
         double last = Double.NaN;
-        for (double nowMs = 1_000; nowMs < 1_600; nowMs += 2) last = burst.notBeforeMs(nowMs, nowMs - LOOK_MS);
+        for (double nowMs = 1_000; nowMs < 1_600; nowMs += 2) last = burst.recordAccept(nowMs, nowMs - LOOK_MS);
         assertThat(last).isLessThan(1_000);
     }
 
     @Test
     void clientsThatComeOneByOneForLongAreChargedForNoOthersWait() {
         for (double nowMs = 1_000; nowMs < 60_000; nowMs += 10) {
-            assertThat(burst.notBeforeMs(nowMs, nowMs - LOOK_MS)).isEqualTo(nowMs - LOOK_MS);
+            assertThat(burst.recordAccept(nowMs, nowMs - LOOK_MS)).isEqualTo(nowMs - LOOK_MS);
         }
     }
 
     @Test
     void aCrowdIsOverOnceFewerCome() {
-        for (double nowMs = 1_000; nowMs < 1_600; nowMs += 2) burst.notBeforeMs(nowMs, nowMs - LOOK_MS);
+        for (double nowMs = 1_000; nowMs < 1_600; nowMs += 2) burst.recordAccept(nowMs, nowMs - LOOK_MS);
         double nowMs = 1_800;
-        assertThat(burst.notBeforeMs(nowMs, nowMs - LOOK_MS)).isEqualTo(nowMs - LOOK_MS);
+        assertThat(burst.recordAccept(nowMs, nowMs - LOOK_MS)).isEqualTo(nowMs - LOOK_MS);
     }
 }
--- a/src/test/java/maplerail/front/RequestTurnsTest.java
+++ b/src/test/java/maplerail/front/RequestThrottleTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 /** A flood of requests leaves the loop its time for timers and other connections. */
-class RequestTurnsTest {
+class RequestThrottleTest {
     private final ArrayDeque<Runnable> afterInput = new ArrayDeque<>();
     private final List<Integer> handled = new ArrayList<>();
-    private final RequestTurns turns = new RequestTurns(new Loop() {
+    private final RequestThrottle throttle = new RequestThrottle(new Loop() {
         @Override
         public double nowMs() {
             return 0;
@@ -41,19 +41,19 @@
     });
 
     private void arrive(int request) {
-        if (turns.handleNow()) handled.add(request);
-        else turns.execute(() -> handled.add(request));
+        if (throttle.tryHandleNow()) handled.add(request);
+        else throttle.execute(() -> handled.add(request));
     }
 
     @Test
     void moreThanATurnTakesWaitForTheNextAndStayInOrder() {
-        int all = 2 * RequestTurns.PER_TURN + 3;
+        int all = 2 * RequestThrottle.REQUESTS_PER_TURN + 3;
         for (int request = 0; request < all; request++) arrive(request);
-        assertThat(handled).hasSize(RequestTurns.PER_TURN);
+        assertThat(handled).hasSize(RequestThrottle.REQUESTS_PER_TURN);
         afterInput.poll().run();
-        assertThat(handled).hasSize(2 * RequestTurns.PER_TURN);
+        assertThat(handled).hasSize(2 * RequestThrottle.REQUESTS_PER_TURN);
         arrive(all);
-        assertThat(handled).as("others wait already").hasSize(2 * RequestTurns.PER_TURN);
+        assertThat(handled).as("others wait already").hasSize(2 * RequestThrottle.REQUESTS_PER_TURN);
         afterInput.poll().run();
         assertThat(handled).hasSize(all + 1).isSorted();
     }
