--- a/src/test/java/maplerail/front/ArrivalLogTest.java
+++ b/src/test/java/maplerail/front/ArrivalLogTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Guards against a request's time that starts later than its client sent it. */
+/** Guards against a deadline that starts to run later than the client sent the request. */
 class ArrivalLogTest {
     private final ArrivalLog log = new ArrivalLog();
 
     @Test
-    void aRequestInPiecesRunsFromItsFirstByte() {
+    void requestReadInPiecesStartsAtItsFirstByte() {
         log.onRead(100, 10);
         log.onRead(50, 30);
         log.onRead(50, 60);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aRequestThatWasReadBehindAnotherRunsFromItsOwnFirstByte() {
+    void pipelinedRequestStartsAtItsOwnFirstByte() {
         log.onRead(100, 10);
         log.onRead(100, 30);
         log.onRead(100, 60);
@@ -34,15 +34,15 @@
     }
 
     @Test
-    void nothingReadIsNoTime() {
+    void startIsInfiniteBeforeAnyByteIsRead() {
         assertThat(log.notBeforeMs()).isInfinite();
         log.requestEnded(0);
         assertThat(log.notBeforeMs()).isInfinite();
     }
 
-    /** Guards against memory that grows with each message of a session that lasts. */
+    /** Guards against memory that grows with each message of a long session. */
     @Test
-    void aConnectionThatIsNoLongerOneOfRequestsIsNotNoted() {
+    void stoppedLogRecordsNothing() {
         log.onRead(10, 1);
         log.stop();
         for (int i = 0; i < 100; i++) log.onRead(10, 20 * i);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void piecesOfRequestsThatEndedAreForgotten() {
+    void chunksOfEndedRequestsAreDropped() {
         for (int i = 0; i < 100; i++) {
             log.onRead(10, 20 * i);
             log.requestEnded(5);
--- a/src/test/java/maplerail/front/ClientListenerTest.java
+++ b/src/test/java/maplerail/front/ClientListenerTest.java
@@ -32,196 +32,204 @@
 import org.xnio.channels.StreamSourceChannel;
 
 class ClientListenerTest {
-    private static final int LIMIT_MS = 20_000; // ends a test that would never end
-    private static final int SILENT_CROWD = 700;
-    private static final int HALF_CROWD = 300;
-    private static final int WAITING = 8;
+    private static final int READ_TIMEOUT_MS = 20_000; // ends a test that would otherwise hang
+    private static final int SILENT_CLIENTS = 700;
+    private static final int INCOMPLETE_CLIENTS = 300;
+    private static final int REQUESTS = 8;
     private static final double BUDGET_MS = 6_000;
-    private static final double TOLD_SLACK_MS = 150; // of the rule
+    private static final double DEADLINE_SLACK_MS = 150; // that the rule on deadlines allows
     private static final String BUDGET_S = "0.8";
-    private static final double LOST_MS = 500; // past its time, from which an answer counts as none
+    private static final double ANSWER_SLACK_MS = 500; // past the deadline, after which an answer counts as missing
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     private static Socket send(World world, String text) throws Exception {
         Socket socket = world.connect();
-        socket.setSoTimeout(LIMIT_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         return socket;
     }
 
     @Test
-    void whoSaysNothingOrHalfARequestIsTurnedOutButNotWhoWaitsForAnAnswer() throws Exception {
+    void silentAndIncompleteClientsAreClosedButWaitingOnesAreNot() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
-        String whole = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
+        String fullRequest = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
             x.stream();
             x.chunk("data: one\n\n");
             streams.add(x);
         });
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
-                Socket waiting = send(world, whole);
+                Socket complete = send(world, fullRequest);
                 Socket silent = send(world, "");
-                Socket half = send(world, "POST / HTTP/1.1\r\nReq-");
-                Socket halfBody = send(world,
-                        whole.substring(0, whole.length() - 3))) {
+                Socket incompleteHead = send(world, "POST / HTTP/1.1\r\nReq-");
+                Socket incompleteBody = send(world,
+                        fullRequest.substring(0, fullRequest.length() - 3))) {
             StandIn.Exchange open = take(streams);
             assertThat(silent.getInputStream().read()).isNegative();
-            assertThat(World.readAll(half.getInputStream())).startsWith("HTTP/1.1 408");
-            assertThat(World.readAll(halfBody.getInputStream())).startsWith("HTTP/1.1 408");
+            assertThat(World.readAll(incompleteHead.getInputStream())).startsWith("HTTP/1.1 408");
+            assertThat(World.readAll(incompleteBody.getInputStream())).startsWith("HTTP/1.1 408");
             open.chunk("data: two\n\n");
             open.last();
-            assertThat(World.readAll(waiting.getInputStream())).contains("data: one\n\n").endsWith("\r\n0\r\n\r\n");
+            assertThat(World.readAll(complete.getInputStream())).contains("data: one\n\n").endsWith("\r\n0\r\n\r\n");
             assertThat(writer.count("POST")).isEqualTo(1);
         }
     }
 
-    /** However it came: half a request behind a whole one is owed the same end as any other. */
+    /** An incomplete request that was pipelined after a complete one gets the same timeout as any other. */
     @Test
-    void halfARequestBehindAWholeOneIsTurnedOutAsAnyOther() throws Exception {
+    void incompletePipelinedRequestTimesOut() throws Exception {
         try (World world = new World().start(); Socket client = send(world, READY + "POST / HTTP/1.1\r\nReq-")) {
             long startNanos = System.nanoTime();
-            String came = World.readAll(client.getInputStream());
-            assertThat(System.nanoTime() - startNanos).as("by TERMS").isLessThan(3_000_000_000L);
-            assertThat(came).startsWith("HTTP/1.1 200").contains("HTTP/1.1 408");
+            String output = World.readAll(client.getInputStream());
+            assertThat(System.nanoTime() - startNanos).as("time until the connection is closed, limited by TERMS")
+                    .isLessThan(3_000_000_000L);
+            assertThat(output).startsWith("HTTP/1.1 200").contains("HTTP/1.1 408");
         }
     }
 
-    /** As long as its client waits and goes on writing, however slowly. */
+    /** A body may take as long as its client waits, however slowly it is sent. */
     @Test
-    void aRequestWhoseBodyKeepsComingIsServed() throws Exception {
-        String whole = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
-        int body = whole.indexOf("\r\n\r\n") + 4;
+    void requestWithASlowButSteadyBodyIsServed() throws Exception {
+        String fullRequest = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
+        int body = fullRequest.indexOf("\r\n\r\n") + 4;
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
-                Socket client = send(world, whole.substring(0, body))) {
-            for (int i = body; i < whole.length(); i++) {
+                Socket client = send(world, fullRequest.substring(0, body))) {
+            for (int i = body; i < fullRequest.length(); i++) {
                 long startNanos = System.nanoTime();
                 await("some time later", () -> System.nanoTime() - startNanos > 250_000_000L);
-                client.getOutputStream().write(whole.charAt(i));
+                client.getOutputStream().write(fullRequest.charAt(i));
             }
             assertThat(World.readAll(client.getInputStream())).startsWith("HTTP/1.1 200").contains("[DONE]");
         }
     }
 
-    /** After a pause timers are due before what has arrived is read: a request that is there must not be closed over. */
+    /**
+     * After a stall of the loop, timers run before arrived bytes are read: the timeout must not close a connection on
+     * which a request has arrived.
+     */
     @Test
-    void aRequestThatArrivedWhileTheLoopStoodStillIsNotClosedOver() throws Exception {
+    void requestThatArrivedWhileTheLoopWasStalledIsNotLost() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        BlockingQueue<String> heard = World.queue();
+        BlockingQueue<String> received = World.queue();
         try {
             XnioLoop loop = new XnioLoop(worker.getIoThread());
             ClientListener listener = new ClientListener(connection -> {
-                connection.getSourceChannel().setReadListener(channel -> read(channel, heard));
+                connection.getSourceChannel().setReadListener(channel -> read(channel, received));
                 connection.getSourceChannel().resumeReads();
-                heard.add("accepted");
+                received.add("accepted");
             }, loop, 0, new ServiceCounters(loop, line -> {}));
             AcceptingChannel<StreamConnection> server = worker.createStreamConnectionServer(
                     new InetSocketAddress("127.0.0.1", 0), ChannelListeners.openListenerAdapter(listener),
                     OptionMap.EMPTY);
             server.resumeAccepts();
-            InetSocketAddress at = server.getLocalAddress(InetSocketAddress.class);
+            InetSocketAddress address = server.getLocalAddress(InetSocketAddress.class);
             CountDownLatch written = new CountDownLatch(1);
-            try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-                assertThat(take(heard)).isEqualTo("accepted");
+            try (Socket client = new Socket(address.getAddress(), address.getPort())) {
+                assertThat(take(received)).isEqualTo("accepted");
                 loop.execute(() -> {
-                    // The client is silent for too long; its request comes while the loop stands still.
+                    // The client is silent for too long; its request arrives while the loop is stalled.
                     double silentMs = loop.nowMs() + 300;
                     while (written.getCount() > 0 || loop.nowMs() < silentMs) Thread.onSpinWait();
                 });
                 client.getOutputStream().write('x');
                 written.countDown();
-                assertThat(take(heard)).isEqualTo("x");
+                assertThat(take(received)).isEqualTo("x");
             }
         } finally {
             worker.shutdownNow();
         }
     }
 
-    private static void read(StreamSourceChannel channel, BlockingQueue<String> heard) {
+    private static void read(StreamSourceChannel channel, BlockingQueue<String> received) {
         ByteBuffer bytes = ByteBuffer.allocate(1);
         try {
-            if (channel.read(bytes) > 0) heard.add("x");
+            if (channel.read(bytes) > 0) received.add("x");
         } catch (IOException e) {
-            heard.add(e.toString());
+            received.add(e.toString());
         }
     }
 
-    /** Discovery is down while they come, and has news when it is back. */
+    /** Discovery is down while the clients connect, and reports a change once it is back. */
     @Test
     void idleClientsLeaveRoomForRequestsEnginesAndDiscovery() throws Exception {
         List<Socket> idle = new ArrayList<>();
-        CountDownLatch back = new CountDownLatch(1);
+        CountDownLatch discoveryBack = new CountDownLatch(1);
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 StandIn other = World.writer();
                 StandIn agent = new StandIn(x -> {
-                    back.await();
+                    discoveryBack.await();
                     x.reply(200, "{\"seq\":9,\"whole\":false,\"hosts\":[{\"host\":\"w1\",\"dial\":\"" + writer.address()
                             + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"terminating\"}]}");
                 });
                 World world = new World().sockets(128).engine("r", "prefill", reader).engine("w1", "decode", writer)
                         .engine("w2", "decode", other).discoveredBy(agent).start()) {
             for (int i = 0; i < 300; i++) idle.add(world.connect());
-            back.countDown();
-            await("discovery is heard", () -> agent.count("GET /api/targets?index=9&") > 0);
+            discoveryBack.countDown();
+            await("discovery is asked for changes", () -> agent.count("GET /api/targets?index=9&") > 0);
             for (int i = 0; i < 5; i++) {
                 assertThat(world.exchange(request("a" + i, "lookup", "20.0"))).startsWith("HTTP/1.1 200");
             }
-            assertThat(writer.count("POST")).as("of the engine that drains").isZero();
+            assertThat(writer.count("POST")).as("requests at the draining engine").isZero();
             assertThat(other.count("POST")).isEqualTo(5);
         } finally {
             for (Socket socket : idle) socket.close();
         }
     }
 
-    /** They wait in the system's queue before it, and a request's time runs there too. */
+    /** The silent clients wait in the kernel's backlog before the request, whose deadline runs there too. */
     @Test
-    void aRequestBehindACrowdThatSaysNothingIsAnsweredInItsTime() throws Exception {
-        assertThat(answeredAfterMs(SILENT_CROWD, "")).as("until the answer")
-                .isLessThan(1_000 * Double.parseDouble(BUDGET_S) + LOST_MS);
+    void requestBehindSilentClientsIsAnsweredInTime() throws Exception {
+        assertThat(answerTimeMs(SILENT_CLIENTS, "")).as("until the answer")
+                .isLessThan(1_000 * Double.parseDouble(BUDGET_S) + ANSWER_SLACK_MS);
     }
 
     @Test
-    void aRequestBehindACrowdThatStopsWithinARequestIsAnsweredInItsTime() throws Exception {
-        assertThat(answeredAfterMs(HALF_CROWD, "POST / HTTP/1.1\r\nReq-")).as("until the answer")
-                .isLessThan(1_000 * Double.parseDouble(BUDGET_S) + LOST_MS);
+    void requestBehindStalledClientsIsAnsweredInTime() throws Exception {
+        assertThat(answerTimeMs(INCOMPLETE_CLIENTS, "POST / HTTP/1.1\r\nReq-")).as("until the answer")
+                .isLessThan(1_000 * Double.parseDouble(BUDGET_S) + ANSWER_SLACK_MS);
     }
 
-    /** A crowd that comes again and again: the places are taken all the time, and some wait for one. */
+    /**
+     * Clients that reconnect all the time hold every place, so that requests wait for one. The deadline that the reader
+     * gets must not exceed what is left.
+     */
     @Test
     void aWaitForAPlaceIsChargedToTheRequest() throws Exception {
         Map<String, Double> deadlineMs = new ConcurrentHashMap<>();
-        BlockingQueue<Double> overMs = World.queue();
-        AtomicBoolean over = new AtomicBoolean();
+        BlockingQueue<Double> excessMs = World.queue();
+        AtomicBoolean stop = new AtomicBoolean();
         try (StandIn reader = new StandIn(x -> {
             if (x.method.equals("POST")) {
-                double toldMs = 1_000 * Double.parseDouble(x.headers.get("req-deadline"));
-                overMs.add(toldMs - (deadlineMs.get(x.headers.get("req-id")) - x.firstByteMs));
+                double sentDeadlineMs = 1_000 * Double.parseDouble(x.headers.get("req-deadline"));
+                excessMs.add(sentDeadlineMs - (deadlineMs.get(x.headers.get("req-id")) - x.firstByteMs));
             }
             x.reply(x.method.equals("POST") ? 202 : 204, "{\"cached_tokens\":0}");
         });
                 StandIn writer = World.writer();
                 World world = new World().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
                         .start()) {
-            List<Thread> crowd = new ArrayList<>();
-            for (int i = 0; i < HALF_CROWD; i++) crowd.add(comesAgain(world, over));
-            for (int i = 0; i < WAITING; i++) {
+            List<Thread> threads = new ArrayList<>();
+            for (int i = 0; i < INCOMPLETE_CLIENTS; i++) threads.add(reconnectUntil(world, stop));
+            for (int i = 0; i < REQUESTS; i++) {
                 deadlineMs.put("a" + i, System.nanoTime() / 1e6 + BUDGET_MS);
                 try (Socket client = send(world, request("a" + i, "lookup", "" + BUDGET_MS / 1_000))) {
                     World.readUntil(client, "HTTP/1.1 ");
                 }
             }
-            over.set(true);
-            for (Thread one : crowd) one.join(LIMIT_MS);
+            stop.set(true);
+            for (Thread thread : threads) thread.join(READ_TIMEOUT_MS);
         }
-        assertThat(overMs).as("told over what was left, ms").isNotEmpty().allMatch(most -> most <= TOLD_SLACK_MS);
+        assertThat(excessMs).as("sent deadline above the time left, ms").isNotEmpty()
+                .allMatch(excess -> excess <= DEADLINE_SLACK_MS);
     }
 
-    /** A client that connects, says half a request and stays until it is ended, over and over. */
-    private static Thread comesAgain(World world, AtomicBoolean over) {
+    /** Starts a client that connects, sends half a request, stays until it is closed, and starts again. */
+    private static Thread reconnectUntil(World world, AtomicBoolean stop) {
         Thread thread = new Thread(() -> {
-            while (!over.get()) {
+            while (!stop.get()) {
                 try (Socket socket = send(world, "POST / HTTP/1.1\r\nReq-")) {
                     World.readAll(socket.getInputStream());
                 } catch (Exception e) {
@@ -233,39 +241,39 @@
         return thread;
     }
 
-    /** Of a request that is sent once a crowd of clients has connected, each of which has said the same. */
-    private static double answeredAfterMs(int crowd, String says) throws Exception {
-        List<Socket> before = new ArrayList<>();
+    /** Returns how long a request takes that is sent after many clients have connected and have each sent a text. */
+    private static double answerTimeMs(int clientCount, String text) throws Exception {
+        List<Socket> clients = new ArrayList<>();
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 World world = new World().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
                         .start()) {
-            for (int i = 0; i < crowd; i++) before.add(send(world, says));
+            for (int i = 0; i < clientCount; i++) clients.add(send(world, text));
             try (Socket client = send(world, request("a1", "lookup", BUDGET_S))) {
                 long sentNanos = System.nanoTime();
                 World.readUntil(client, "HTTP/1.1 ");
                 return (System.nanoTime() - sentNanos) / 1e6;
             }
         } finally {
-            for (Socket socket : before) socket.close();
+            for (Socket socket : clients) socket.close();
         }
     }
 
-    /** Clients that ask once and stay would otherwise take every descriptor. */
+    /** Guards against clients that send one request, stay connected, and take every descriptor. */
     @Test
-    void idleConnectionsMakeRoomForNewOnes() throws Exception {
-        List<Socket> stayed = new ArrayList<>();
+    void idleConnectionsAreClosedForNewOnes() throws Exception {
+        List<Socket> clients = new ArrayList<>();
         try (World world = new World().sockets(128).start()) {
             for (int i = 0; i < 100; i++) {
-                stayed.add(send(world, READY));
-                assertThat(stayed.get(i).getInputStream().read()).isEqualTo('H');
+                clients.add(send(world, READY));
+                assertThat(clients.get(i).getInputStream().read()).isEqualTo('H');
             }
-            assertThat(World.readAll(stayed.get(0).getInputStream())).startsWith("TTP/1.1 200");
-            Socket last = stayed.get(99);
+            assertThat(World.readAll(clients.get(0).getInputStream())).startsWith("TTP/1.1 200");
+            Socket last = clients.get(99);
             last.getOutputStream().write(READY.getBytes(StandardCharsets.UTF_8));
             assertThat(last.getInputStream().read()).isPositive();
         } finally {
-            for (Socket socket : stayed) socket.close();
+            for (Socket socket : clients) socket.close();
         }
     }
 }
--- a/src/test/java/maplerail/front/ConsulStandIn.java
+++ b/src/test/java/maplerail/front/ConsulStandIn.java
@@ -5,61 +5,62 @@
 import java.util.List;
 import maplerail.support.StandIn;
 
-/** The part of Consul's HTTP API that is used, after its public description: blocking queries and their index. */
+/** A fake Consul with the documented HTTP API as far as the gateway uses it: blocking queries and their index. */
 final class ConsulStandIn implements AutoCloseable {
     private final StandIn server;
     private final StandIn[] tools;
-    private final List<String> states = new ArrayList<>();
+    private final List<String> statuses = new ArrayList<>();
     private long index = 100;
-    private int asked;
+    private int healthQueries;
 
     ConsulStandIn(StandIn... tools) throws IOException {
         this.tools = tools;
-        for (int i = 0; i < tools.length; i++) states.add("passing");
+        for (int i = 0; i < tools.length; i++) statuses.add("passing");
         server = new StandIn(x -> {
-            boolean health = x.target.startsWith("/v1/health/service/records");
-            long known = x.target.contains("index=") ? Long.parseLong(x.target.split("index=")[1].split("&")[0]) : 0;
-            String body = health ? healthAfter(known) : servicesAfter(known);
-            x.reply(200, body, "X-Consul-Index: " + now());
+            boolean isHealthQuery = x.target.startsWith("/v1/health/service/records");
+            long knownIndex = x.target.contains("index=") ? Long.parseLong(x.target.split("index=")[1].split("&")[0])
+                    : 0;
+            String body = isHealthQuery ? healthAfter(knownIndex) : servicesAfter(knownIndex);
+            x.reply(200, body, "X-Consul-Index: " + currentIndex());
         });
     }
 
-    private synchronized long now() {
+    private synchronized long currentIndex() {
         return index;
     }
 
-    private synchronized String servicesAfter(long known) throws InterruptedException {
-        while (known == index) wait();
+    private synchronized String servicesAfter(long knownIndex) throws InterruptedException {
+        while (knownIndex == index) wait();
         return "{\"consul\":[],\"records\":[\"v1\"]}";
     }
 
-    private synchronized String healthAfter(long known) throws InterruptedException {
-        asked++;
-        while (known == index) wait();
+    private synchronized String healthAfter(long knownIndex) throws InterruptedException {
+        healthQueries++;
+        while (knownIndex == index) wait();
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < tools.length; i++) {
             entries.add("{\"Node\":{\"Node\":\"n" + i + "\",\"Address\":\"127.0.0.1\"},\"Service\":{\"ID\":\"records-"
                     + i
                     + "\",\"Service\":\"records\",\"Address\":\"\",\"Port\":" + tools[i].socketAddress().getPort()
-                    + "},\"Checks\":[{\"Status\":\"passing\"},{\"Status\":\"" + states.get(i) + "\"}]}");
+                    + "},\"Checks\":[{\"Status\":\"passing\"},{\"Status\":\"" + statuses.get(i) + "\"}]}");
         }
         return "[" + String.join(",", entries) + "]";
     }
 
     synchronized void status(int tool, String status) {
-        states.set(tool, status);
+        statuses.set(tool, status);
         index++;
         notifyAll();
     }
 
-    /** A server that was restored: its index is far behind. */
+    /** Sets the index far back, as on a server that was restored. */
     synchronized void restart() {
         index = 3;
         notifyAll();
     }
 
-    synchronized int asked() {
-        return asked;
+    synchronized int healthQueries() {
+        return healthQueries;
     }
 
     String address() {
--- a/src/test/java/maplerail/front/MalformedRequestTest.java
+++ b/src/test/java/maplerail/front/MalformedRequestTest.java
@@ -12,25 +12,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests that cannot be read get an error or a close, soon, and are never sent on. */
+/** Malformed requests promptly get an error or a closed connection, and are never forwarded. */
 class MalformedRequestTest {
-    private static final int PROMPT_MS = 8_000; // 3 s are owed; the rest is for a busy test machine
-    private static final int LIMIT_MS = 20_000; // ends a test that would never end
-    private static final String LENGTH = "Content-Length: 15\r\n";
+    private static final int MAX_ANSWER_MS = 8_000; // 3 s are promised; the rest allows for a busy test machine
+    private static final int READ_TIMEOUT_MS = 20_000; // ends a test that would otherwise hang
+    private static final String LENGTH_HEADER = "Content-Length: 15\r\n";
 
     private static String send(World world, String text) throws IOException {
         try (Socket client = world.connect()) {
-            client.setSoTimeout(LIMIT_MS);
+            client.setSoTimeout(READ_TIMEOUT_MS);
             try {
                 client.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             } catch (IOException e) {
-                return "<reset>"; // closed while the text was still on its way
+                return "<reset>"; // closed while the text was still being sent
             }
             return World.readAll(client.getInputStream());
         }
     }
 
-    /** What stands in place of the header that tells the body's length. */
+    /** Each value replaces the header that gives the body's length. */
     @ParameterizedTest
     @ValueSource(strings = {
             "Content-Length: 15\r\nTransfer-Encoding: chunked\r\n",
@@ -46,20 +46,20 @@
             "Transfer-Encoding: chunked, chunked\r\n",
             "Transfer-Encoding: chunked\r\n",
     })
-    void aBodyWhoseLengthCannotBeReadIsTurnedAway(String framing) throws Exception {
+    void requestWithInvalidBodyLengthIsRejected(String framing) throws Exception {
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             long startNanos = System.nanoTime();
-            String answer = send(world, request("a1", "lookup", "60").replace(LENGTH, framing));
-            assertThat(System.nanoTime() - startNanos).isLessThan(PROMPT_MS * 1_000_000L);
+            String answer = send(world, request("a1", "lookup", "60").replace(LENGTH_HEADER, framing));
+            assertThat(System.nanoTime() - startNanos).isLessThan(MAX_ANSWER_MS * 1_000_000L);
             assertThat(answer).doesNotContain(" 200 ").matches("(?s)(HTTP/1.1 [45].*)?(<reset>)?");
             assertThat(reader.seen).isEmpty();
         }
     }
 
     @Test
-    void aHeadThatNeverEndsIsTurnedAway() throws Exception {
+    void endlessHeadIsRejected() throws Exception {
         try (StandIn reader = World.reader(); World world = new World().engine("r", "prefill", reader).start()) {
             String endless = "POST / HTTP/1.1\r\n" + "X-Padding: more and more\r\n".repeat(40_000);
             assertThat(send(world, endless)).doesNotContain(" 200 ");
@@ -68,14 +68,14 @@
     }
 
     @Test
-    void halfARequestAndThenACloseGoesNoFurther() throws Exception {
+    void requestCutOffByACloseIsNotForwarded() throws Exception {
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
-            String whole = request("half", "lookup", "5.0");
-            for (int length : new int[] {1, 30, whole.indexOf("\r\n\r\n"), whole.length() - 1}) {
+            String fullRequest = request("half", "lookup", "5.0");
+            for (int length : new int[] {1, 30, fullRequest.indexOf("\r\n\r\n"), fullRequest.length() - 1}) {
                 try (Socket client = world.connect()) {
-                    client.getOutputStream().write(whole.substring(0, length).getBytes(StandardCharsets.UTF_8));
+                    client.getOutputStream().write(fullRequest.substring(0, length).getBytes(StandardCharsets.UTF_8));
                 }
             }
             assertThat(world.exchange(request("whole", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
@@ -84,15 +84,15 @@
     }
 
     @Test
-    void aSoundRequestIsServedHoweverItIsCutIntoPieces() throws Exception {
+    void validRequestSentByteByByteIsServed() throws Exception {
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = world.connect()) {
             client.setTcpNoDelay(true);
-            String whole = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
-            for (byte one : whole.getBytes(StandardCharsets.UTF_8)) {
-                client.getOutputStream().write(one);
+            String fullRequest = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
+            for (byte singleByte : fullRequest.getBytes(StandardCharsets.UTF_8)) {
+                client.getOutputStream().write(singleByte);
                 client.getOutputStream().flush();
             }
             assertThat(World.readAll(client.getInputStream())).startsWith("HTTP/1.1 200").contains("[DONE]");
--- a/src/test/java/maplerail/front/PlatformTest.java
+++ b/src/test/java/maplerail/front/PlatformTest.java
@@ -17,7 +17,7 @@
 
 class PlatformTest {
     @Test
-    void aRequestIsReadThenWrittenAndItsEventsPassUnchanged() throws Exception {
+    void requestGoesToReaderThenWriterAndEventsPassUnchanged() throws Exception {
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
@@ -26,7 +26,7 @@
                     .endsWith("0\r\n\r\n");
             assertThat(reader.seen).containsExactly("POST /v1/chat/completions?x=%41");
             assertThat(writer.seen).containsExactly("POST /v1/chat/completions?x=%41");
-            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
+            await("no request is tracked", () -> world.gateway.trackedRequests() == 0);
         }
     }
 
@@ -45,17 +45,17 @@
             POST /v1                     | GET /v1                          | 405
             POST /v1/chat/completions    | POST /-/load                     | 404
             """)
-    void badInputIsTheClientsAndGoesNoFurther(String right, String wrong, int status) throws Exception {
+    void invalidRequestIsRejectedAndNotForwarded(String valid, String invalid, int status) throws Exception {
         try (StandIn reader = World.reader();
                 World world = new World().engine("r", "prefill", reader).start()) {
-            String answer = world.exchange(request("a1", "lookup", "5.0").replace(right, wrong));
+            String answer = world.exchange(request("a1", "lookup", "5.0").replace(valid, invalid));
             assertThat(answer).startsWith("HTTP/1.1 " + status);
             assertThat(reader.seen).isEmpty();
         }
     }
 
     @Test
-    void aBodyInChunksIsTooLargeAtTheSameLength() throws Exception {
+    void chunkedBodyHasTheSameSizeLimit() throws Exception {
         try (StandIn reader = World.reader();
                 World world = new World().engine("r", "prefill", reader).start();
                 Socket client = world.connect()) {
@@ -69,9 +69,9 @@
         }
     }
 
-    /** A gateway that starts anew serves from the list that it last had, though discovery says nothing. */
+    /** A restarted gateway serves from the engine list that it last had while discovery does not answer. */
     @Test
-    void theKnownListServesWhileDiscoveryIsSilent() throws Exception {
+    void knownListIsUsedWhileDiscoveryIsSilent() throws Exception {
         try (StandIn silent = new StandIn(StandIn.Exchange::awaitEnd);
                 StandIn reader = World.reader();
                 StandIn writer = World.writer();
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void whatTheModuleGivesUpOnIsRefusedWithAdvice() throws Exception {
+    void requestRefusedByTheModuleGetsRetryAfter() throws Exception {
         try (World world = new World().start()) {
             assertThat(world.gateway.trackedRequests()).isZero();
             try (StandIn drained = World.reader()) {
@@ -103,16 +103,17 @@
         }
     }
 
-    /** What an engine's answer means shows in what is sent next and in the one final answer. */
+    /** The outcome at an engine decides what is sent next and the one final answer. */
     @ParameterizedTest
     @CsvSource({"full,lookup,200,2", "gone,lookup,200,2", "error,repair-order,502,1", "reset,repair-order,502,1",
             "full,repair-order,200,2", "error,lookup,200,2", "reset,lookup,200,2"})
-    void outcomesDecideWhatMayBeSentAgain(String how, String kind, int status, int sends) throws Exception {
-        BlockingQueue<String> first = World.queue();
-        first.add(how);
+    void outcomeDecidesWhetherARequestIsRetried(String firstOutcome, String kind, int status, int sends)
+            throws Exception {
+        BlockingQueue<String> outcomes = World.queue();
+        outcomes.add(firstOutcome);
         StandIn.Handler handler = x -> {
             if (x.method.equals("DELETE")) x.reply(204, "");
-            else switch (first.isEmpty() ? "" : first.take()) {
+            else switch (outcomes.isEmpty() ? "" : outcomes.take()) {
                 case "full" -> x.reply(503, "", "Srv-Declined: 1");
                 case "gone" -> x.reply(410, "", "Srv-Declined: 1");
                 case "error" -> x.reply(500, "");
@@ -131,13 +132,14 @@
                         .engine("w2", "decode", other).start()) {
             assertThat(world.exchange(request("a1", kind, "5.0"))).startsWith("HTTP/1.1 " + status);
             assertThat(writer.count("POST") + other.count("POST")).isEqualTo(sends);
-            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
-            if (status == 502) await("the state let go", () -> reader.count("DELETE /internal/reservations/a1") > 0);
+            await("no request is tracked", () -> world.gateway.trackedRequests() == 0);
+            if (status == 502)
+                await("the state is released", () -> reader.count("DELETE /internal/reservations/a1") > 0);
         }
     }
 
     @Test
-    void aBrokenStreamEndsTheConnectionWithNoLastChunk() throws Exception {
+    void brokenStreamClosesTheConnectionWithoutALastChunk() throws Exception {
         StandIn.Handler handler = x -> {
             x.stream();
             x.chunk("data: 1\n\ndata: hal");
@@ -152,10 +154,10 @@
         }
     }
 
-    /** All its events have come, but only the last chunk says so. */
+    /** All events have arrived, but only the last chunk marks the end of the stream. */
     @ParameterizedTest
     @ValueSource(strings = {"", "0", "0\r\n", "0\r\n\r"})
-    void aStreamCutRightBeforeTheEndOfItsLastChunkIsNotWhole(String end) throws Exception {
+    void streamCutWithinItsLastChunkIsIncomplete(String end) throws Exception {
         StandIn.Handler handler = x -> {
             x.stream();
             x.chunk("data: [DONE]\n\n");
@@ -169,15 +171,15 @@
         }
     }
 
-    /** The connection stays open, but nothing on it can be believed any more. */
+    /** The connection stays open, but nothing more that arrives on it can be trusted. */
     @ParameterizedTest
     @ValueSource(strings = {"zz\r\n", "\r\n", "3\r\ndata: 2\n\n\r\n", "c0000000\r\ndata",
             "99\r\ndata: 2\n\n\r\n0\r\n\r\n"})
-    void aSpoiltStreamIsNeverWhole(String spoilt) throws Exception {
+    void corruptStreamIsIncomplete(String corruption) throws Exception {
         StandIn.Handler handler = x -> {
             x.stream();
             x.chunk("data: 1\n\n");
-            x.write(spoilt);
+            x.write(corruption);
             x.awaitEnd();
         };
         try (StandIn reader = World.reader();
@@ -185,13 +187,13 @@
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).endsWith("data: 1\n\n\r\n").doesNotContain("data: 2").doesNotContain("\r\n0\r\n");
-            await("the spoilt connection ended", () -> writer.ended() == 1);
+            await("the corrupt connection is closed", () -> writer.ended() == 1);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"noise\n", "HTTP/1.1 200 OK\r\nno header\r\n\r\n", "HTTP/1.1 200 OK\r\nA: "})
-    void aHeadThatCannotBeReadIsAnAttemptThatMayHaveRun(String head) throws Exception {
+    void malformedResponseHeadMeansTheAttemptMayHaveRun(String head) throws Exception {
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
             x.write(head);
             x.awaitEnd();
@@ -201,16 +203,16 @@
         }
     }
 
-    /** Engines that turn one client's nonsense away are not failing, and need not all be asked. */
+    /** Engines that reject a client's invalid request are not failing, and no other engine is tried. */
     @ParameterizedTest
     @ValueSource(ints = {400, 404, 422})
-    void whatAnEngineCannotUseIsTheClientsFault(int status) throws Exception {
-        StandIn.Handler picky = x -> {
+    void requestRejectedByAnEngineIsTheClientsFault(int status) throws Exception {
+        StandIn.Handler rejecting = x -> {
             if (x.method.equals("POST") && x.headers.get("req-id").startsWith("bad")) x.reply(status, "");
             else x.reply(202, "{}");
         };
-        try (StandIn reader = new StandIn(picky);
-                StandIn other = new StandIn(picky);
+        try (StandIn reader = new StandIn(rejecting);
+                StandIn other = new StandIn(rejecting);
                 StandIn writer = World.writer();
                 World world = new World().engine("r1", "prefill", reader).engine("r2", "prefill", other)
                         .engine("w", "decode", writer).start()) {
@@ -219,12 +221,12 @@
                 assertThat(reader.count("POST") + other.count("POST")).isEqualTo(i);
             }
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
-            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
+            await("no request is tracked", () -> world.gateway.trackedRequests() == 0);
         }
     }
 
     @Test
-    void aStreamWithoutAnEndOfItsOwnIsNotWhole() throws Exception {
+    void streamWithoutFramingIsIncomplete() throws Exception {
         StandIn.Handler handler = x -> {
             x.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndata: 1\n\n");
             x.reset();
@@ -237,7 +239,7 @@
     }
 
     @Test
-    void aClientThatLeavesEndsTheAttemptAndLetsTheStateGo() throws Exception {
+    void disconnectCancelsTheAttemptAndReleasesTheState() throws Exception {
         BlockingQueue<StandIn.Exchange> waiting = World.queue();
         BlockingQueue<String> ended = World.queue();
         StandIn.Handler silent = x -> {
@@ -253,24 +255,24 @@
             assertThat(Double.parseDouble(take(waiting).headers.get("req-deadline"))).isBetween(0.0, 5.0);
             client.close();
             assertThat(take(ended)).isEqualTo("a1");
-            await("the state let go", () -> reader.count("DELETE /internal/reservations/a1") > 0);
-            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
+            await("the state is released", () -> reader.count("DELETE /internal/reservations/a1") > 0);
+            await("no request is tracked", () -> world.gateway.trackedRequests() == 0);
         }
     }
 
     @Test
-    void aDrainingEngineGetsNothingNew() throws Exception {
+    void drainingEngineGetsNoNewRequests() throws Exception {
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 StandIn other = World.writer();
                 World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer)
                         .engine("w2", "decode", other).start()) {
-            BlockingQueue<String> told = World.queue();
+            BlockingQueue<String> answers = World.queue();
             world.engine("w1", "decode", writer, "terminating");
             world.engine("x", "decode", writer, "terminating");
-            await("told", () -> {
+            await("the gateway stops using w1", () -> {
                 long before = writer.count("POST");
-                told.add(status(world, request("t" + told.size(), "lookup", "5.0")));
+                answers.add(status(world, request("t" + answers.size(), "lookup", "5.0")));
                 return writer.count("POST") == before;
             });
             long before = writer.count("POST");
@@ -283,7 +285,7 @@
     }
 
     @Test
-    void whatAClientSendsEarlyIsItsNextRequest() throws Exception {
+    void pipelinedRequestIsServedNext() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         try (StandIn reader = World.reader();
                 StandIn writer = new StandIn(streams::add);
@@ -299,17 +301,17 @@
         }
     }
 
-    /** However much of the next requests stands behind it, and whether or not that is ever whole. */
+    /** Holds however many bytes of the next requests follow, and whether or not those are ever complete. */
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250, 1_000})
-    void whatStandsBehindARequestHoldsUpNothingOfItsAnswer(int behind) throws Exception {
+    void pipelinedBytesDoNotDelayTheAnswer(int pipelinedBytes) throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         try (StandIn reader = World.reader();
                 StandIn writer = new StandIn(streams::add);
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = world.connect()) {
             client.setSoTimeout(2_000);
-            String next = request("a2", "lookup", "5.0").repeat(9).substring(0, behind);
+            String next = request("a2", "lookup", "5.0").repeat(9).substring(0, pipelinedBytes);
             client.getOutputStream().write((request("a1", "lookup", "5.0") + next).getBytes(StandardCharsets.UTF_8));
             StandIn.Exchange stream = take(streams);
             stream.stream();
@@ -321,35 +323,35 @@
         }
     }
 
-    /** An answer that no engine makes as well. */
+    /** Holds as well for an answer that the gateway makes itself. */
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250, 1_000})
-    void whatStandsBehindARequestHoldsUpNoRefusal(int behind) throws Exception {
+    void pipelinedBytesDoNotDelayARefusal(int pipelinedBytes) throws Exception {
         try (World world = new World().start(); Socket client = world.connect()) {
             client.setSoTimeout(2_000);
-            String next = request("a2", "lookup", "5.0").repeat(9).substring(0, behind);
+            String next = request("a2", "lookup", "5.0").repeat(9).substring(0, pipelinedBytes);
             client.getOutputStream().write((request("a1", "nonsense", "5.0") + next).getBytes(StandardCharsets.UTF_8));
             assertThat(World.readUntil(client, "Req-Kind: unknown")).startsWith("HTTP/1.1 400");
         }
     }
 
-    /** Nor one to a request without a body. */
+    /** Holds as well for a request without a body. */
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250})
-    void whatStandsBehindALookForReadinessHoldsUpNothing(int behind) throws Exception {
+    void pipelinedBytesDoNotDelayTheReadinessCheck(int pipelinedBytes) throws Exception {
         try (World world = new World().start(); Socket client = world.connect()) {
             client.setSoTimeout(2_000);
-            String next = request("a2", "lookup", "5.0").repeat(2).substring(0, behind);
+            String next = request("a2", "lookup", "5.0").repeat(2).substring(0, pipelinedBytes);
             String ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
             client.getOutputStream().write((ready + next).getBytes(StandardCharsets.UTF_8));
             assertThat(World.readUntil(client, "\r\n\r\n")).startsWith("HTTP/1.1 200");
         }
     }
 
-    /** What came early stands before the end of the client's side: whoever stops reading there never sees it leave. */
+    /** The end of input follows the pipelined bytes: a gateway that stops reading before it would miss the disconnect. */
     @ParameterizedTest
     @ValueSource(ints = {9, 1_000})
-    void aClientThatLeavesBehindEarlyRequestsEndsThemAll(int requests) throws Exception {
+    void disconnectAfterPipelinedRequestsEndsThemAll(int requests) throws Exception {
         BlockingQueue<StandIn.Exchange> waiting = World.queue();
         BlockingQueue<String> ended = World.queue();
         StandIn.Handler silent = x -> {
@@ -362,20 +364,20 @@
             try (Socket client = world.connect()) {
                 client.getOutputStream().write(request("a1", "repair-order", "60").getBytes(StandardCharsets.UTF_8));
                 take(waiting);
-                StringBuilder early = new StringBuilder();
-                for (int i = 2; i <= requests; i++) early.append(request("a" + i, "lookup", "60"));
-                client.getOutputStream().write(early.toString().getBytes(StandardCharsets.UTF_8));
+                StringBuilder pipelined = new StringBuilder();
+                for (int i = 2; i <= requests; i++) pipelined.append(request("a" + i, "lookup", "60"));
+                client.getOutputStream().write(pipelined.toString().getBytes(StandardCharsets.UTF_8));
             }
             assertThat(take(ended)).isEqualTo("a1");
-            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
+            await("no request is tracked", () -> world.gateway.trackedRequests() == 0);
             assertThat(reader.count("POST")).isEqualTo(1);
         }
     }
 
-    /** All that came early is answered, in its order. */
+    /** All pipelined requests are answered, in order. */
     @ParameterizedTest
     @ValueSource(ints = {40, 600})
-    void manyRequestsAtOnceAreAnsweredOneAfterTheOther(int requests) throws Exception {
+    void manyPipelinedRequestsAreAnsweredInOrder(int requests) throws Exception {
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
@@ -393,7 +395,7 @@
     }
 
     @Test
-    void twoOpenRequestsOfOneIdCannotBe() throws Exception {
+    void duplicateOpenRequestIdIsRejected() throws Exception {
         BlockingQueue<StandIn.Exchange> waiting = World.queue();
         try (StandIn reader = new StandIn(x -> {
             waiting.add(x);
--- a/src/test/java/maplerail/front/RequestThrottleTest.java
+++ b/src/test/java/maplerail/front/RequestThrottleTest.java
@@ -8,7 +8,7 @@
 import maplerail.core.Loop;
 import org.junit.jupiter.api.Test;
 
-/** A flood of requests leaves the loop its time for timers and other connections. */
+/** Guards against a flood of requests that keeps the loop from its timers and from other connections. */
 class RequestThrottleTest {
     private final ArrayDeque<Runnable> afterInput = new ArrayDeque<>();
     private final List<Integer> handled = new ArrayList<>();
@@ -46,20 +46,20 @@
     }
 
     @Test
-    void moreThanATurnTakesWaitForTheNextAndStayInOrder() {
-        int all = 2 * RequestThrottle.REQUESTS_PER_TURN + 3;
-        for (int request = 0; request < all; request++) arrive(request);
+    void excessRequestsWaitForTheNextTurnInOrder() {
+        int count = 2 * RequestThrottle.REQUESTS_PER_TURN + 3;
+        for (int request = 0; request < count; request++) arrive(request);
         assertThat(handled).hasSize(RequestThrottle.REQUESTS_PER_TURN);
         afterInput.poll().run();
         assertThat(handled).hasSize(2 * RequestThrottle.REQUESTS_PER_TURN);
-        arrive(all);
-        assertThat(handled).as("others wait already").hasSize(2 * RequestThrottle.REQUESTS_PER_TURN);
+        arrive(count);
+        assertThat(handled).as("other requests are already queued").hasSize(2 * RequestThrottle.REQUESTS_PER_TURN);
         afterInput.poll().run();
-        assertThat(handled).hasSize(all + 1).isSorted();
+        assertThat(handled).hasSize(count + 1).isSorted();
     }
 
     @Test
-    void fewRequestsAreHandledAtOnceAndNothingIsLeftRunning() {
+    void fewRequestsAreHandledAtOnceAndLeaveNoTaskScheduled() {
         arrive(1);
         assertThat(handled).containsExactly(1);
         while (!afterInput.isEmpty()) afterInput.poll().run();
--- a/src/test/java/maplerail/front/ToolCallTest.java
+++ b/src/test/java/maplerail/front/ToolCallTest.java
@@ -19,16 +19,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tool calls beside a streaming answer, with stand-in tool servers that count effects and final answers. */
+/** Tool calls beside a streaming answer, against fake tool servers; counts side effects and final answers. */
 class ToolCallTest {
     private static final String RESULT = "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"lamp\":1.50}}";
 
-    /** A client: what it hears, and how many final answers came for an id. */
+    /** A client that records the events and the final answers that it receives. */
     private static final class Client implements WebSocket.Listener {
         final BlockingQueue<JsonValue> answers = World.queue();
         final BlockingQueue<String> events = World.queue();
-        final StringBuilder part = new StringBuilder();
-        final AtomicInteger answered = new AtomicInteger();
+        final StringBuilder buffer = new StringBuilder();
+        final AtomicInteger answerCount = new AtomicInteger();
         String lastText;
         WebSocket socket;
 
@@ -41,43 +41,43 @@
         }
 
         @Override
-        public CompletionStage<?> onText(WebSocket from, CharSequence text, boolean last) {
-            part.append(text);
+        public CompletionStage<?> onText(WebSocket source, CharSequence text, boolean last) {
+            buffer.append(text);
             if (last) {
-                JsonValue message = JsonValue.parseObject("message", part.toString());
+                JsonValue message = JsonValue.parseObject("message", buffer.toString());
                 if (message.at("method").present()) {
                     events.add(message.at("params").at("data").text());
                 } else {
-                    lastText = part.toString();
-                    answered.incrementAndGet();
+                    lastText = buffer.toString();
+                    answerCount.incrementAndGet();
                     answers.add(message);
                 }
-                part.setLength(0);
+                buffer.setLength(0);
             }
-            from.request(1);
+            source.request(1);
             return null;
         }
 
-        void say(String text) {
+        void send(String text) {
             socket.sendText(text, true).join();
         }
 
         void call(int id, String tool) {
-            say("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"tools/call\",\"params\":{\"name\":\"" + tool
+            send("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"tools/call\",\"params\":{\"name\":\"" + tool
                     + "\",\"arguments\":{\"column\":\"C-17\",\"height\":8.10}}}");
         }
 
-        void answer(int id) {
-            say("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"answers/stream\",\"params\":{\"kind\":\"lookup\","
+        void startAnswer(int id) {
+            send("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"answers/stream\",\"params\":{\"kind\":\"lookup\","
                     + "\"deadline_ms\":5000,\"max_out\":100,\"body\":{\"stream\":true}}}");
         }
 
-        JsonValue answer() throws InterruptedException {
+        JsonValue nextAnswer() throws InterruptedException {
             return take(answers);
         }
     }
 
-    private static String tools(String place, String deadline, int inFlight, int most) {
+    private static String toolsConfig(String serversJson, String deadlineMs, int callsInFlight, int maxReplyBytes) {
         return """
                 {"listen":"127.0.0.1:0",%s
                  "contracts":{"find":{"repeat":"pure","deadline_ms":%s,"most_argument_bytes":200,"most_reply_bytes":%d},
@@ -85,19 +85,19 @@
                  "tools":{"columns.find":{"service":"records","contract":"find"},
                   "orders.raise":{"service":"records","contract":"raise"}},
                  "teams":{"cyngor-glannau":{"calls_per_s":100,"calls_in_flight":%d}}}"""
-                .formatted(place, deadline, most, deadline, inFlight);
+                .formatted(serversJson, deadlineMs, maxReplyBytes, deadlineMs, callsInFlight);
     }
 
-    private static String servers(StandIn... servers) {
+    private static String serversJson(StandIn... servers) {
         String list = String.join("\",\"", java.util.Arrays.stream(servers).map(StandIn::address).toList());
         return "\"services\":{\"records\":{\"path\":\"/tool\",\"servers\":[\"" + list + "\"]}},";
     }
 
-    private static World world(StandIn... servers) throws Exception {
-        return new World().start(tools(servers(servers), "5000", 4, 1000));
+    private static World startWorld(StandIn... servers) throws Exception {
+        return new World().start(toolsConfig(serversJson(servers), "5000", 4, 1000));
     }
 
-    private static StandIn tool(AtomicInteger effects) throws Exception {
+    private static StandIn toolServer(AtomicInteger effects) throws Exception {
         return new StandIn(x -> {
             effects.incrementAndGet();
             x.reply(200, RESULT);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aCallIsAnsweredWhileAnAnswerStreamsAndItsDecodeBoxDrains() throws Exception {
+    void callIsAnsweredWhileAnAnswerStreamsAndItsWriterDrains() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
@@ -115,9 +115,9 @@
         });
                 StandIn tool = new StandIn(calls::add);
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
-                        .start(tools(servers(tool), "5000", 4, 1000))) {
+                        .start(toolsConfig(serversJson(tool), "5000", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
-            client.answer(1);
+            client.startAnswer(1);
             assertThat(take(client.events)).isEqualTo("one");
             client.call(2, "orders.raise");
             StandIn.Exchange call = take(calls);
@@ -127,19 +127,19 @@
             assertThat(take(client.events)).isEqualTo("two");
             assertThat(call.body).contains("\"height\":8.10");
             call.reply(200, RESULT);
-            assertThat(client.answer().at("id").number()).isEqualTo(2);
+            assertThat(client.nextAnswer().at("id").number()).isEqualTo(2);
             assertThat(client.lastText).contains("\"result\":{\"lamp\":1.50}");
             stream.chunk("data: [DONE]\n\n");
             stream.last();
-            assertThat(client.answer().at("id").number()).isEqualTo(1);
-            assertThat(client.answered).hasValue(2);
+            assertThat(client.nextAnswer().at("id").number()).isEqualTo(1);
+            assertThat(client.answerCount).hasValue(2);
             assertThat(tool.count("POST /tool")).isEqualTo(1);
-            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
+            await("no request is tracked", () -> world.gateway.trackedRequests() == 0);
         }
     }
 
     @Test
-    void aDecodeBoxThatDiesMidCallFailsTheAnswerAndNotTheCall() throws Exception {
+    void failedWriterFailsTheAnswerButNotTheCall() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
@@ -149,22 +149,22 @@
         });
                 StandIn tool = new StandIn(calls::add);
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
-                        .start(tools(servers(tool), "5000", 4, 1000))) {
+                        .start(toolsConfig(serversJson(tool), "5000", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
-            client.answer(1);
+            client.startAnswer(1);
             take(client.events);
             client.call(2, "orders.raise");
             StandIn.Exchange call = take(calls);
             take(streams).reset();
-            assertThat(client.answer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
+            assertThat(client.nextAnswer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
             call.reply(200, RESULT);
-            assertThat(client.answer().at("id").number()).isEqualTo(2);
-            assertThat(client.answered).hasValue(2);
+            assertThat(client.nextAnswer().at("id").number()).isEqualTo(2);
+            assertThat(client.answerCount).hasValue(2);
         }
     }
 
     @Test
-    void aClientThatLeavesWhileTheReplyIsInFlightLeavesNothingBehind() throws Exception {
+    void disconnectDuringAReplyLeavesNoState() throws Exception {
         AtomicInteger effects = new AtomicInteger();
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         BlockingQueue<String> ended = World.queue();
@@ -174,126 +174,130 @@
             calls.add(x);
             x.awaitEnd();
             ended.add("ended");
-        }); World world = world(tool)) {
+        }); World world = startWorld(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             take(calls);
             client.socket.abort();
             take(ended);
-            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
+            await("no request is tracked", () -> world.gateway.trackedRequests() == 0);
             assertThat(effects).hasValue(1);
-            assertThat(client.answered).hasValue(0);
+            assertThat(client.answerCount).hasValue(0);
         }
     }
 
     @Test
-    void aRepairOrderThatMayHaveRunIsNeverSentAgain() throws Exception {
+    void callWithSideEffectsThatMayHaveRunIsNotRetried() throws Exception {
         AtomicInteger effects = new AtomicInteger();
         StandIn.Handler reset = x -> {
             effects.incrementAndGet();
             x.reset();
         };
-        try (StandIn one = new StandIn(reset); StandIn two = new StandIn(reset); World world = world(one, two)) {
+        try (StandIn one = new StandIn(reset); StandIn two = new StandIn(reset); World world = startWorld(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
-            JsonValue error = client.answer().at("error");
+            JsonValue error = client.nextAnswer().at("error");
             assertThat(error.at("code").number()).isEqualTo(-32001);
             assertThat(error.at("data").at("mayHaveRun").flag()).isTrue();
-            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
+            await("no request is tracked", () -> world.gateway.trackedRequests() == 0);
             assertThat(effects).hasValue(1);
-            assertThat(client.answered).hasValue(1);
+            assertThat(client.answerCount).hasValue(1);
         }
     }
 
     @Test
-    void aLookupIsTriedElsewhere() throws Exception {
-        AtomicInteger left = new AtomicInteger(1);
-        StandIn.Handler once = x -> {
-            if (left.getAndDecrement() > 0) x.reset();
+    void pureCallIsRetriedAtAnotherServer() throws Exception {
+        AtomicInteger failuresLeft = new AtomicInteger(1);
+        StandIn.Handler failOnce = x -> {
+            if (failuresLeft.getAndDecrement() > 0) x.reset();
             else x.reply(200, RESULT);
         };
-        try (StandIn one = new StandIn(once); StandIn two = new StandIn(once); World world = world(one, two)) {
+        try (StandIn one = new StandIn(failOnce);
+                StandIn two = new StandIn(failOnce);
+                World world = startWorld(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "columns.find");
-            assertThat(client.answer().at("result").present()).isTrue();
+            assertThat(client.nextAnswer().at("result").present()).isTrue();
             assertThat(one.count("POST") + two.count("POST")).isEqualTo(2);
-            assertThat(client.answered).hasValue(1);
+            assertThat(client.answerCount).hasValue(1);
         }
     }
 
     @Test
-    void aServerThatDeclinedARepairOrderIsNoReasonNotToSendItToAnother() throws Exception {
-        AtomicInteger left = new AtomicInteger(1);
-        StandIn.Handler once = x -> {
-            if (left.getAndDecrement() > 0) x.reply(503, "", "Srv-Declined: 1");
+    void declinedCallWithSideEffectsIsRetriedAtAnotherServer() throws Exception {
+        AtomicInteger failuresLeft = new AtomicInteger(1);
+        StandIn.Handler failOnce = x -> {
+            if (failuresLeft.getAndDecrement() > 0) x.reply(503, "", "Srv-Declined: 1");
             else x.reply(200, RESULT);
         };
-        try (StandIn one = new StandIn(once); StandIn two = new StandIn(once); World world = world(one, two)) {
+        try (StandIn one = new StandIn(failOnce);
+                StandIn two = new StandIn(failOnce);
+                World world = startWorld(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
-            assertThat(client.answer().at("result").present()).isTrue();
+            assertThat(client.nextAnswer().at("result").present()).isTrue();
         }
     }
 
     @Test
-    void aCallIsAnsweredByItsDeadline() throws Exception {
+    void callIsAnsweredByItsDeadline() throws Exception {
         try (StandIn tool = new StandIn(StandIn.Exchange::awaitEnd);
-                World world = new World().start(tools(servers(tool), "200", 4, 1000))) {
+                World world = new World().start(toolsConfig(serversJson(tool), "200", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
-            assertThat(client.answer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
-            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
+            assertThat(client.nextAnswer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
+            await("no request is tracked", () -> world.gateway.trackedRequests() == 0);
             assertThat(tool.count("POST")).isEqualTo(1);
         }
     }
 
     @Test
-    void aTeamsBudgetIsKeptAndGivenBack() throws Exception {
+    void teamsCallsInFlightAreLimitedAndFreed() throws Exception {
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         try (StandIn tool = new StandIn(calls::add);
-                World world = new World().start(tools(servers(tool), "5000", 1, 1000))) {
+                World world = new World().start(toolsConfig(serversJson(tool), "5000", 1, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "columns.find");
             StandIn.Exchange first = take(calls);
             client.call(2, "columns.find");
-            JsonValue refused = client.answer();
+            JsonValue refused = client.nextAnswer();
             assertThat(refused.at("id").number()).isEqualTo(2);
             assertThat(refused.at("error").at("code").number()).isEqualTo(-32000);
             assertThat(refused.at("error").at("data").at("retryAfterMs").number()).isPositive();
             first.reply(200, RESULT);
-            client.answer();
+            client.nextAnswer();
             client.call(3, "columns.find");
             take(calls).reply(200, RESULT);
-            assertThat(client.answer().at("result").present()).isTrue();
+            assertThat(client.nextAnswer().at("result").present()).isTrue();
         }
     }
 
     @Test
-    void aReplyLargerThanItsContractFails() throws Exception {
-        try (StandIn tool = tool(new AtomicInteger());
-                World world = new World().start(tools(servers(tool), "5000", 4, 20))) {
+    void replyAboveTheContractsLimitFails() throws Exception {
+        try (StandIn tool = toolServer(new AtomicInteger());
+                World world = new World().start(toolsConfig(serversJson(tool), "5000", 4, 20))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "columns.find");
-            assertThat(client.answer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
+            assertThat(client.nextAnswer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
             assertThat(tool.count("POST")).isEqualTo(1);
         }
     }
 
     @Test
-    void aCancelledCallGetsItsOneAnswerAndItsIdIsFree() throws Exception {
+    void cancelledCallGetsOneAnswerAndFreesItsId() throws Exception {
         BlockingQueue<StandIn.Exchange> calls = World.queue();
-        try (StandIn tool = new StandIn(calls::add); World world = world(tool)) {
+        try (StandIn tool = new StandIn(calls::add); World world = startWorld(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             StandIn.Exchange call = take(calls);
             client.call(1, "orders.raise");
-            JsonValue duplicate = client.answer();
+            JsonValue duplicate = client.nextAnswer();
             assertThat(duplicate.at("id").present()).isFalse();
             assertThat(duplicate.at("error").at("data").at("duplicateId").number()).isEqualTo(1);
-            client.say("{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":1}}");
-            assertThat(client.answer().at("error").at("code").number()).isEqualTo(-32003);
+            client.send("{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":1}}");
+            assertThat(client.nextAnswer().at("error").at("code").number()).isEqualTo(-32003);
             call.awaitEnd();
-            await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
+            await("no request is tracked", () -> world.gateway.trackedRequests() == 0);
             assertThat(tool.count("POST")).isEqualTo(1);
         }
     }
@@ -314,68 +318,68 @@
             {"jsonrpc":"2.0","id":1,"method":"tools/call","params":{"name":"columns.find","arguments":5}} | -32602
             {"jsonrpc":"2.0","id":1,"method":"answers/stream","params":{"kind":"poem"}}         | -32602
             """)
-    void badMessagesAreAnsweredAndGoNoFurther(String message, int code) throws Exception {
+    void invalidMessagesAreRejectedAndNotForwarded(String message, int code) throws Exception {
         AtomicInteger effects = new AtomicInteger();
-        try (StandIn tool = tool(effects); World world = world(tool)) {
+        try (StandIn tool = toolServer(effects); World world = startWorld(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
-            client.say(message);
-            assertThat(client.answer().at("error").at("code").number()).isEqualTo(code);
-            client.say("{\"jsonrpc\":\"2.0\",\"id\":\"x\",\"method\":\"ping\"}");
-            assertThat(client.answer().at("result").isObject()).isTrue();
+            client.send(message);
+            assertThat(client.nextAnswer().at("error").at("code").number()).isEqualTo(code);
+            client.send("{\"jsonrpc\":\"2.0\",\"id\":\"x\",\"method\":\"ping\"}");
+            assertThat(client.nextAnswer().at("result").isObject()).isTrue();
             assertThat(effects).hasValue(0);
         }
     }
 
     @Test
-    void anArgumentLargerThanItsContractGoesNoFurther() throws Exception {
+    void argumentAboveTheContractsLimitIsNotForwarded() throws Exception {
         AtomicInteger effects = new AtomicInteger();
-        try (StandIn tool = tool(effects); World world = world(tool)) {
+        try (StandIn tool = toolServer(effects); World world = startWorld(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
-            client.say("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"columns.find\","
+            client.send("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"columns.find\","
                     + "\"arguments\":{\"a\":\"" + "x".repeat(200) + "\"}}}");
-            assertThat(client.answer().at("error").at("code").number()).isEqualTo(-32602);
+            assertThat(client.nextAnswer().at("error").at("code").number()).isEqualTo(-32602);
             assertThat(effects).hasValue(0);
         }
     }
 
     @Test
-    void aTeamThatTheFileDoesNotNameIsNotLetIn() throws Exception {
-        try (StandIn tool = tool(new AtomicInteger()); World world = world(tool)) {
+    void unknownTeamIsRejected() throws Exception {
+        try (StandIn tool = toolServer(new AtomicInteger()); World world = startWorld(tool)) {
             assertThatThrownBy(() -> Client.connect(world, "nobody")).isInstanceOf(CompletionException.class);
         }
     }
 
     @Test
-    void aServiceThatConsulMarksCriticalGetsNothingNew() throws Exception {
+    void serverThatConsulMarksCriticalGetsNoNewCalls() throws Exception {
         AtomicInteger one = new AtomicInteger();
         AtomicInteger two = new AtomicInteger();
-        try (StandIn first = tool(one);
-                StandIn second = tool(two);
+        try (StandIn first = toolServer(one);
+                StandIn second = toolServer(two);
                 ConsulStandIn consul = new ConsulStandIn(first, second);
-                World world = new World().start(tools("\"consul\":\"" + consul.address()
+                World world = new World().start(toolsConfig("\"consul\":\"" + consul.address()
                         + "\",\"services\":{\"records\":{\"path\":\"/tool\"}},", "300", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
-            await("found", () -> served(client));
+            await("the service is found", () -> isServed(client));
             consul.status(0, "critical");
-            await("told", () -> {
+            await("server 0 gets no more calls", () -> {
                 int before = one.get();
-                return served(client) && one.get() == before && consul.asked() > 2;
+                return isServed(client) && one.get() == before && consul.healthQueries() > 2;
             });
             consul.status(1, "critical");
-            await("no server", () -> !served(client));
+            await("no server is left", () -> !isServed(client));
             int before = one.get() + two.get();
-            assertThat(served(client)).isFalse();
+            assertThat(isServed(client)).isFalse();
             assertThat(one.get() + two.get()).isEqualTo(before);
             consul.restart();
             consul.status(1, "passing");
-            await("found again though the index went backwards", () -> served(client));
+            await("the service is found again after the index went back", () -> isServed(client));
         }
     }
 
-    private static boolean served(Client client) {
-        client.call(client.answered.get() + 100, "columns.find");
+    private static boolean isServed(Client client) {
+        client.call(client.answerCount.get() + 100, "columns.find");
         try {
-            return client.answer().at("result").present();
+            return client.nextAnswer().at("result").present();
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
