--- a/src/main/java/maplerail/front/ClientListener.java
+++ b/src/main/java/maplerail/front/ClientListener.java
@@ -119,7 +119,7 @@
      * Makes a listener in front of the HTTP server's own.
      *
      * @param httpListener the HTTP server's listener, which handles each connection
-     * @param maxConnections the number of connections that should be open at once at most
+     * @param maxConnections the largest number of connections that should be open at once
      */
     public ClientListener(ChannelListener<StreamConnection> httpListener, Loop loop, int maxConnections,
             ServiceCounters counters) {
--- a/src/main/java/maplerail/front/ConnectionBurst.java
+++ b/src/main/java/maplerail/front/ConnectionBurst.java
@@ -30,7 +30,7 @@
      *
      * @param nowMs the time of the accept
      * @param sinceMs the time before which this connection alone had not been made
-     * @return the time before which it had not been made, the burst that it may belong to included
+     * @return the time before which it had not been made, given the burst that it may belong to
      */
     double recordAccept(double nowMs, double sinceMs) {
         if (acceptedMs[nextSlot] < sinceMs - BURST_PERIOD_MS) burstSinceMs = sinceMs;
--- a/src/main/java/maplerail/front/jsonrpc/AnswerMethods.java
+++ b/src/main/java/maplerail/front/jsonrpc/AnswerMethods.java
@@ -20,7 +20,7 @@
 
 /** Implements the method answers/stream: a completion from the platform's engines, through the platform's broker. */
 final class AnswerMethods {
-    private static final double BYTES_PER_TOKEN = 4;
+    private static final double BYTES_PER_TOKEN = 4; // estimate for a request without prompt_len
     private static final double MAX_TOKENS = 1e7;
 
     private final Broker broker;
--- a/src/main/java/maplerail/front/jsonrpc/RpcFront.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcFront.java
@@ -34,12 +34,17 @@
     private final Set<WebSocketChannel> channels = new HashSet<>();
     private ClientListener listener;
 
-    /** Makes a front for the platform's broker and for one broker per tool service. */
-    public RpcFront(ToolsConfig config, Map<String, Broker> services, Broker platform, NameTables names,
+    /**
+     * Makes a front.
+     *
+     * @param brokers the broker of each tool service, by the service's name
+     * @param platformBroker the broker of the platform's engines
+     */
+    public RpcFront(ToolsConfig config, Map<String, Broker> brokers, Broker platformBroker, NameTables names,
             Lifecycle lifecycle) {
         this.config = config;
-        this.toolMethods = new ToolMethods(config, services);
-        this.answerMethods = new AnswerMethods(platform, names);
+        this.toolMethods = new ToolMethods(config, brokers);
+        this.answerMethods = new AnswerMethods(platformBroker, names);
         this.lifecycle = lifecycle;
     }
 
@@ -52,22 +57,22 @@
     public void handleRequest(HttpServerExchange exchange) throws Exception {
         listener.onRequestHead(exchange);
         String owner = exchange.getRequestHeaders().getFirst("Req-Owner");
-        int team = config.teams().stream().map(ToolsConfig.Team::name).toList().indexOf(owner);
+        int teamIndex = config.teams().stream().map(ToolsConfig.Team::name).toList().indexOf(owner);
         if (!exchange.getRequestPath().equals(config.path())) {
             exchange.setStatusCode(404).endExchange();
-        } else if (team < 0) {
+        } else if (teamIndex < 0) {
             exchange.setStatusCode(403).endExchange();
         } else if (!acceptsRequests()) {
             exchange.setStatusCode(503).endExchange();
         } else {
-            WebSocketConnectionCallback onUpgrade = (upgrade, channel) -> openSession(channel, team);
+            WebSocketConnectionCallback onUpgrade = (upgrade, channel) -> openSession(channel, teamIndex);
             listener.onUpgraded(exchange); // no idle timeout: a session may be quiet for any length of time
             new WebSocketProtocolHandshakeHandler(onUpgrade).handleRequest(exchange);
         }
     }
 
-    private void openSession(WebSocketChannel channel, int team) {
-        Session session = new Session(channel, team, this);
+    private void openSession(WebSocketChannel channel, int teamIndex) {
+        Session session = new Session(channel, teamIndex, this);
         sessions.add(session);
         channels.add(channel);
         channel.addCloseTask(closed -> {
@@ -101,13 +106,13 @@
     }
 
     @Override
-    public RequestHandle dispatch(Session session, int team, RpcMessage message, Session.PendingRequest pending) {
+    public RequestHandle dispatch(Session session, int teamIndex, RpcMessage message, Session.PendingRequest pending) {
         switch (message.method()) {
             case "tools/call" -> {
-                return toolMethods.call(message, team, pending);
+                return toolMethods.call(message, teamIndex, pending);
             }
             case "answers/stream" -> {
-                return answerMethods.start(message, config.teams().get(team).name(), pending);
+                return answerMethods.start(message, config.teams().get(teamIndex).name(), pending);
             }
             case "tools/list" -> pending.finish(result(pending, toolMethods.list()));
             case "ping" -> pending.finish(result(pending, "{}"));
--- a/src/main/java/maplerail/front/jsonrpc/Session.java
+++ b/src/main/java/maplerail/front/jsonrpc/Session.java
@@ -20,7 +20,7 @@
     private static final double RETRY_AFTER_MS = 100;
 
     private final WebSocketChannel channel;
-    private final int team;
+    private final int teamIndex;
     private final Dispatcher dispatcher;
     private final Map<String, PendingRequest> pendingRequests = new HashMap<>();
     private int unsentBytes;
@@ -29,15 +29,15 @@
     /** Runs the requests of a session. */
     interface Dispatcher {
         /** Starts a request; returns {@code null} if it was answered at once. */
-        RequestHandle dispatch(Session session, int team, RpcMessage message, PendingRequest pending);
+        RequestHandle dispatch(Session session, int teamIndex, RpcMessage message, PendingRequest pending);
 
         /** Returns true while new requests are accepted. */
         boolean acceptsRequests();
     }
 
-    Session(WebSocketChannel channel, int team, Dispatcher dispatcher) {
+    Session(WebSocketChannel channel, int teamIndex, Dispatcher dispatcher) {
         this.channel = channel;
-        this.team = team;
+        this.teamIndex = teamIndex;
         this.dispatcher = dispatcher;
     }
 
@@ -70,7 +70,7 @@
             pendingRequests.put(message.id(), pending);
             RequestHandle handle;
             try {
-                handle = dispatcher.dispatch(this, team, message, pending);
+                handle = dispatcher.dispatch(this, teamIndex, message, pending);
             } catch (ConfigException e) {
                 pending.finish(RpcError.PARAMS.answer(message.id(), e.getMessage(), ""));
                 return;
--- a/src/main/java/maplerail/front/jsonrpc/ToolCaller.java
+++ b/src/main/java/maplerail/front/jsonrpc/ToolCaller.java
@@ -21,14 +21,14 @@
     @Override
     public void end() {
         Map<String, String> fields = Json.fields(reply);
-        String outcome = fields == null ? "" : fields.containsKey("result") ? "result" : "error";
-        if (fields == null || !fields.containsKey(outcome)
+        String member = fields == null ? "" : fields.containsKey("result") ? "result" : "error";
+        if (fields == null || !fields.containsKey(member)
                 || fields.containsKey("result") && fields.containsKey("error")) {
             pending.finish(RpcError.FAILED.failed(pending.id, "the tool's reply is no JSON-RPC answer"));
             return;
         }
         pending.finish(
-                "{\"jsonrpc\":\"2.0\",\"id\":" + pending.id + ",\"" + outcome + "\":" + fields.get(outcome) + "}");
+                "{\"jsonrpc\":\"2.0\",\"id\":" + pending.id + ",\"" + member + "\":" + fields.get(member) + "}");
     }
 
     @Override
--- a/src/main/java/maplerail/front/jsonrpc/ToolMethods.java
+++ b/src/main/java/maplerail/front/jsonrpc/ToolMethods.java
@@ -15,17 +15,17 @@
 
 /** Implements the methods tools/call and tools/list; calls go to the broker of the tool's service. */
 final class ToolMethods {
-    private static final double BYTES_PER_TOKEN = 4;
+    private static final double BYTES_PER_TOKEN = 4; // estimate of the prompt from the arguments
 
     private final ToolsConfig config;
-    private final Map<String, Broker> services;
+    private final Map<String, Broker> brokers;
 
-    ToolMethods(ToolsConfig config, Map<String, Broker> services) {
+    ToolMethods(ToolsConfig config, Map<String, Broker> brokers) {
         this.config = config;
-        this.services = services;
+        this.brokers = brokers;
     }
 
-    RequestHandle call(RpcMessage message, int team, Session.PendingRequest pending) {
+    RequestHandle call(RpcMessage message, int teamIndex, Session.PendingRequest pending) {
         JsonValue params = Session.params(message);
         String name = params.require("name").text();
         ToolsConfig.Tool tool = config.tools().get(name);
@@ -40,12 +40,13 @@
                 + ",\"method\":\"tools/call\",\"params\":{\"name\":"
                 + Json.quote(name) + ",\"arguments\":" + arguments + "}}").getBytes(StandardCharsets.UTF_8);
         int argumentBytes = arguments.getBytes(StandardCharsets.UTF_8).length;
-        ServiceRequest request = new ServiceRequest(id, tool.contractIndex(), team, 0, argumentBytes / BYTES_PER_TOKEN,
+        ServiceRequest request = new ServiceRequest(id, tool.contractIndex(), teamIndex, 0,
+                argumentBytes / BYTES_PER_TOKEN,
                 0, 0,
                 contract.deadlineMs(),
                 contract.maxReplyBytes() / BYTES_PER_TOKEN, 0, false, argumentBytes,
                 new ToolPayload(config.services().get(tool.service()).path(), body, contract.maxReplyBytes()));
-        return services.get(tool.service()).submit(request, new ToolCaller(pending));
+        return brokers.get(tool.service()).submit(request, new ToolCaller(pending));
     }
 
     String list() {
--- a/src/main/java/maplerail/front/platform/RequestParser.java
+++ b/src/main/java/maplerail/front/platform/RequestParser.java
@@ -17,7 +17,7 @@
 
 /** Parses the headers and the body of an HTTP request into a {@link ServiceRequest}, or reports what is invalid. */
 final class RequestParser {
-    private static final double BYTES_PER_TOKEN = 4;
+    private static final double BYTES_PER_TOKEN = 4; // estimate for a request without prompt_len
     private static final double MAX_DEADLINE_S = 3_600;
     private static final double MAX_TOKENS = 1e7;
     /** Headers that the gateway does not forward to engines as they are. */
@@ -45,8 +45,8 @@
     ServiceRequest parse(HttpServerExchange exchange, byte[] body, double sentMs) throws BadRequest {
         String id = requireHeader(exchange, "Req-Id");
         if (!id.matches("[0-9A-Za-z._~-]{1,128}")) throw new BadRequest("Req-Id: not an id");
-        int kind = indexOf(names.classes(), requireHeader(exchange, "Req-Kind"), "Req-Kind");
-        int tenant = names.tenants().isEmpty() ? 0
+        int kindIndex = indexOf(names.classes(), requireHeader(exchange, "Req-Kind"), "Req-Kind");
+        int tenantIndex = names.tenants().isEmpty() ? 0
                 : indexOf(names.tenants(), requireHeader(exchange, "Req-Owner"), "Req-Owner");
         double budgetMs = budgetMs(exchange);
         Map<String, String> extra = parseExtra(exchange.getRequestHeaders().getFirst("Req-Extra"));
@@ -55,7 +55,8 @@
         double maxOutputTokens = tokens(extra, "max_out", 0);
         String costHint = exchange.getRequestHeaders().getFirst("Req-Cost");
         boolean resumed = "again".equals(exchange.getRequestHeaders().getFirst("Req-Retry"));
-        return new ServiceRequest(id, kind, tenant, StableIds.ofKey(exchange.getRequestHeaders().getFirst("Req-Key")),
+        return new ServiceRequest(id, kindIndex, tenantIndex,
+                StableIds.ofKey(exchange.getRequestHeaders().getFirst("Req-Key")),
                 promptTokens,
                 prefix, prefix == 0 ? 0 : tokens(extra, "prefix_len", 0), budgetMs, maxOutputTokens,
                 costHint == null ? 0 : parseNumber(costHint, "Req-Cost", MAX_DEADLINE_S * 1_000), resumed, body.length,
--- a/src/test/java/maplerail/front/PlatformTest.java
+++ b/src/test/java/maplerail/front/PlatformTest.java
@@ -348,7 +348,7 @@
         }
     }
 
-    /** The end of input follows the pipelined bytes: a gateway that stops reading before it would miss the disconnect. */
+    /** The end of input follows the pipelined bytes: a gateway that stops reading there would miss the disconnect. */
     @ParameterizedTest
     @ValueSource(ints = {9, 1_000})
     void disconnectAfterPipelinedRequestsEndsThemAll(int requests) throws Exception {
