--- a/src/test/java/maplerail/front/RequestTurnsTest.java
+++ b/src/test/java/maplerail/front/RequestThrottleTest.java
@@ -8,11 +8,11 @@
 import maplerail.core.Loop;
 import org.junit.jupiter.api.Test;
 
-/** A flood of requests leaves the loop its time for timers and other connections. */
-class RequestTurnsTest {
+/** Guards against a flood of requests that keeps the loop from its timers and from other connections. */
+class RequestThrottleTest {
     private final ArrayDeque<Runnable> afterInput = new ArrayDeque<>();
     private final List<Integer> handled = new ArrayList<>();
-    private final RequestTurns turns = new RequestTurns(new Loop() {
+    private final RequestThrottle throttle = new RequestThrottle(new Loop() {
         @Override
         public double nowMs() {
             return 0;
@@ -41,25 +41,25 @@
     });
 
     private void arrive(int request) {
-        if (turns.handleNow()) handled.add(request);
-        else turns.execute(() -> handled.add(request));
+        if (throttle.tryHandleNow()) handled.add(request);
+        else throttle.execute(() -> handled.add(request));
     }
 
     @Test
-    void moreThanATurnTakesWaitForTheNextAndStayInOrder() {
-        int all = 2 * RequestTurns.PER_TURN + 3;
-        for (int request = 0; request < all; request++) arrive(request);
-        assertThat(handled).hasSize(RequestTurns.PER_TURN);
+    void excessRequestsWaitForTheNextTurnInOrder() {
+        int count = 2 * RequestThrottle.REQUESTS_PER_TURN + 3;
+        for (int request = 0; request < count; request++) arrive(request);
+        assertThat(handled).hasSize(RequestThrottle.REQUESTS_PER_TURN);
         afterInput.poll().run();
-        assertThat(handled).hasSize(2 * RequestTurns.PER_TURN);
-        arrive(all);
-        assertThat(handled).as("others wait already").hasSize(2 * RequestTurns.PER_TURN);
+        assertThat(handled).hasSize(2 * RequestThrottle.REQUESTS_PER_TURN);
+        arrive(count);
+        assertThat(handled).as("other requests are already queued").hasSize(2 * RequestThrottle.REQUESTS_PER_TURN);
         afterInput.poll().run();
-        assertThat(handled).hasSize(all + 1).isSorted();
+        assertThat(handled).hasSize(count + 1).isSorted();
     }
 
     @Test
-    void fewRequestsAreHandledAtOnceAndNothingIsLeftRunning() {
+    void fewRequestsAreHandledAtOnceAndLeaveNoTaskScheduled() {
         arrive(1);
         assertThat(handled).containsExactly(1);
         while (!afterInput.isEmpty()) afterInput.poll().run();
