--- a/src/main/java/maplerail/Logic.java
+++ b/src/main/java/maplerail/Logic.java
@@ -32,55 +32,137 @@
 import maplerail.policy.TenantShares;
 
 /**
- * Every decision of a node. Its events, actions and settings are in {@link Router}.
+ * The decision module of a node: a deterministic state machine that turns events into actions. The events,
+ * actions and settings are declared in {@link Router}.
  *
- * <p>The ordinary path is D2LPM: the reader that holds the longest prefix, while the client has credit
- * there, else the least queued reader with credit; when the read ends, the writer of lowest projected
- * memory. All else here answers something that went wrong and says what.
+ * <p>The ordinary path is D2LPM (deficit-based longest prefix match). A read goes to the reader that holds
+ * the longest prefix of the prompt if the client has credit there, else to the least queued reader at which
+ * it has credit. When the read ends, the write goes to the writer with the lowest projected memory use. All
+ * other code handles a failure or an overload, which its comment names.
  */
 public final class Logic implements Router {
 
-    private static final double OUTPUT_WEIGHT = 2, OUTPUT_SHARE = 0.5; // in the deficit; of the maximum
-    private static final double ENTRY_AGE = 20_000; // ms that a locality entry is believed (design)
-    private static final double KEPT_SHARE = 0.5; // an entry drops when an answer finds less kept (design)
-    private static final double READ_OVERHEAD = 300; // tokens; a read's fixed cost: a step, messages
-    private static final double HISTORY = 0.8; // of a prompt, held to be kept at its session's home
-    private static final double HOME_SPREAD = 2, HOME_PRIOR = 8; // homes a reader's worth; arrivals assumed
-    private static final double FAR_CELL = 0.04, FAR_ZONE = 0.08; // share of memory that a move out counts as
-    private static final double WAIT_SHARE = 0.3; // of memory, for a wait as long as the aim: streams unseen
-    private static final double SAMPLES = 5, MEMORY_MS = 20_000; // a recent mean goes back so many, so long
-    private static final double SILENCE = 0.6; // of a failure, for an answer that is overdue
-    private static final double FAIL_LIMIT = 0.35; // failure rate of an outlier
-    private static final double OUTLIER = 2.5, SLOW_OUTLIER = 4; // times the peers' median failures, pace
-    private static final double MIN_RELATIVE = 0.7; // least relative speed, so that luck draws no herd
-    private static final double SLOW_AT = 0.4; // share of the shortest aim from which being slow counts
-    private static final double SPILL = 0.3; // share of the time to the aim that a matched reader may take
-    private static final double ENOUGH = 3, SOME = 0.3; // samples to judge an engine; to count among peers
-    private static final double REMARKABLE = 1.5; // relative pace that counts with fewer samples
-    private static final double EJECT_SHARE = 0.5; // most of a role that may be ejected
-    private static final double FULL_MS = 150; // for which an engine that was full is passed over
-    private static final double OVERDUE = 3, OVERDUE_SHARE = 0.4; // times the expected; least share of an aim
-    private static final double BEHIND = 0.25; // of an aim, for the waits of a role: then no copies
-    private static final double CALM_DRIFT = 1.01; // growth, each read, of the pace held to be free of queues
-    private static final double WAIT_MS = 2_000, POOL_MS = 8_000; // in which a wait of one, of all, fades
-    private static final double ADMIT = 0.7, QUEUED = 0.2; // of an aim, for a first token; for queues alone
-    private static final double RESELECT_MS = 25; // between two choices for a request that no engine can take
-    private static final double DOUBT_AGAIN_MS = 100; // between two looks at a read that is waited for on
-    private static final double MARGIN_TICKS = 3, MARGIN_MS = 4; // that a timer is set before its limit
-    private static final double COLD_LOAD = 1.2, COLD_MOST = 0.8, RATE_MS = 10_000; // of a share; of the most
-    private static final double SHUT_LOG_MS = 500; // between two lines on why admission is shut
-    private static final double ASK_AGAIN_MS = 1_000; // between two attempts at a subscription to the list
+    // ---- Locality and deficits ----
+
+    /** Weight of an output token in the deficit counters; a prompt token counts 1. */
+    private static final double OUTPUT_TOKEN_WEIGHT = 2;
+    /** Share of a request's maximum output that it is expected to use, if it carries no hint. */
+    private static final double EXPECTED_OUTPUT_SHARE = 0.5;
+    /** Time for which a locality entry is believed, and in which arrival counts fade. */
+    private static final double LOCALITY_TTL_MS = 20_000;
+    /** An engine's entry is dropped when a read finds less than this share of the matched tokens cached. */
+    private static final double MIN_CACHED_SHARE = 0.5;
+    /** Fixed cost of a read, for an engine step and the messages, in tokens. */
+    private static final double READ_OVERHEAD_TOKENS = 300;
+    /** Share of a prompt that is assumed to be cached at the owner of its session. */
+    private static final double CACHED_HISTORY_SHARE = 0.8;
+    /** Owners of a prefix, as a multiple of the readers that its share of all arrivals would occupy. */
+    private static final double OWNER_SPREAD_FACTOR = 2;
+    /** Arrivals added to those counted, so that a node with few arrivals gives a prefix few owners. */
+    private static final double OWNER_PRIOR_ARRIVALS = 8;
+    /** Share of the goal that a matched reader may take before another reader is considered. */
+    private static final double SPILL_GOAL_SHARE = 0.3;
+
+    // ---- Choice of a writer, in shares of its memory ----
+
+    /** Penalty for a writer in another cell of the reader's zone. */
+    private static final double OTHER_CELL_PENALTY = 0.04;
+    /** Penalty for a writer in another zone. */
+    private static final double OTHER_ZONE_PENALTY = 0.08;
+    /** Penalty for a wait as long as the goal: it reveals streams that other nodes have sent there. */
+    private static final double WAIT_PENALTY = 0.3;
+
+    // ---- Samples ----
+
+    /** Number of samples over which a recent mean extends. */
+    private static final double MAX_SAMPLES = 5;
+    /** Time in which the weight of earlier samples fades to 1/e. */
+    private static final double SAMPLE_FADE_MS = 20_000;
+    /** Samples needed to judge an engine. */
+    private static final double MIN_SAMPLES = 3;
+    /** Samples needed for an engine to count in the median of its peers. */
+    private static final double MIN_PEER_SAMPLES = 0.3;
+    /** Relative pace from which fewer than {@link #MIN_SAMPLES} samples count. */
+    private static final double NOTABLE_RATIO = 1.5;
+    /** Lower bound of the relative stream pace, so that a few lucky samples do not attract a herd. */
+    private static final double MIN_RELATIVE_STREAM = 0.7;
+    /** Growth, at each read, of the estimated pace without queues, so that the estimate can rise again. */
+    private static final double UNQUEUED_PACE_GROWTH = 1.01;
+    /** Minimum time in which the wait observed at one engine fades to 1/e. */
+    private static final double WAIT_FADE_MS = 2_000;
+    /** Time in which the wait observed at all engines of a role fades to 1/e. */
+    private static final double POOLED_WAIT_FADE_MS = 8_000;
+    /** Time in which answer rates fade to 1/e. */
+    private static final double RATE_FADE_MS = 10_000;
+
+    // ---- Outlier detection ----
+
+    /** What an overdue answer counts as in the failure rate of an engine with few samples. */
+    private static final double OVERDUE_FAILURE_WEIGHT = 0.6;
+    /** Failure rate above which an engine can be ejected. */
+    private static final double MAX_FAILURE_RATE = 0.35;
+    /** Multiple of the peers' median failure rate or pace above which an engine is an outlier. */
+    private static final double OUTLIER_RATIO = 2.5;
+    /** Multiple of the peers' median pace above which an engine is ejected as slow. */
+    private static final double SLOW_OUTLIER_RATIO = 4;
+    /** Share of the shortest goal below which an engine's latency is not slow. */
+    private static final double SLOW_MIN_GOAL_SHARE = 0.4;
+    /** Maximum share of a role's engines that may be ejected at a time. */
+    private static final double MAX_EJECTED_SHARE = 0.5;
+    /** Time for which an engine that was full is passed over. */
+    private static final double FULL_BACK_OFF_MS = 150;
+
+    // ---- Overdue attempts and timers ----
+
+    /** Multiple of the expected time after which an attempt is overdue. */
+    private static final double OVERDUE_FACTOR = 3;
+    /** Share of the goal before which no attempt is overdue, and after which it is checked again. */
+    private static final double OVERDUE_GOAL_SHARE = 0.4;
+    /** Share of the goal above which a role's pooled wait means that it is behind: it gets no copies. */
+    private static final double BEHIND_GOAL_SHARE = 0.25;
+    /** Time between two choices for a request that no engine can take. */
+    private static final double RESELECT_INTERVAL_MS = 25;
+    /** Time between two checks of a read whose answer may be lost. */
+    private static final double LOST_READ_CHECK_MS = 100;
+    /** Ticks by which a timer precedes the limit that it guards, in addition to the time below. */
+    private static final double MARGIN_TICKS = 3;
+    /** Time by which a timer precedes the limit that it guards, in addition to the ticks above. */
+    private static final double MARGIN_MS = 4;
+    /** Time between two attempts to subscribe to the list. */
+    private static final double SUBSCRIBE_RETRY_MS = 1_000;
+
+    // ---- Admission and slow start ----
+
+    /** Share of the goal above which the expected time to the first token closes admission. */
+    private static final double ADMISSION_GOAL_SHARE = 0.7;
+    /** Share of the goal that queues alone must exceed before a request's own read counts as overload. */
+    private static final double ADMISSION_QUEUE_SHARE = 0.2;
+    /** Time between two log lines on why admission is closed. */
+    private static final double ADMISSION_LOG_INTERVAL_MS = 500;
+    /** Load offered to a cold engine, as a multiple of its capacity's share of the role. */
+    private static final double COLD_LOAD_FACTOR = 1.2;
+    /** Maximum load offered to a cold engine, as a share of the load that the rules allow. */
+    private static final double MAX_COLD_LOAD_SHARE = 0.8;
 
     private enum Phase { READING, HOLDING, WRITING, STREAMING, DONE }
 
-    /** What a timer is for; its place is the low part of the token. */
+    /** What a timer is for. The ordinal is the low part of the timer token. */
     private enum TimerKind {
-        DEADLINE, RESELECT, LEASE, OVERDUE, ASK, WINDOW, DOUBT
+        DEADLINE, RESELECT, LEASE, OVERDUE, SUBSCRIBE, REPEAT_WINDOW, LOST_READ
     }
 
-    /** What is usual in a role, for one step: medians, our answers by engine, and a cold one's part. */
-    private record RoleStats(double pace, double waitMs, double stream, double failures, double fairRate,
-            double coldShare) {}
+    /**
+     * What is usual in a role, computed once for each step.
+     *
+     * @param pace median milliseconds for each unit of cost
+     * @param latencyMs median latency
+     * @param streamMsPerToken median streaming time for each expected output token
+     * @param failureRate median share of failed outcomes
+     * @param answersPerMs answers to this node for each engine
+     * @param coldShare load offered to a cold engine for each unit of its current capacity
+     */
+    private record RoleStats(double pace, double latencyMs, double streamMsPerToken, double failureRate,
+            double answersPerMs, double coldShare) {}
 
     private final class Engine {
         final long id;
@@ -88,27 +170,36 @@
         Member member;
         Role role;
         boolean ready;
-        final DeficitCounters.OfReader counters = deficits.newReader();
-        /** Own reads out, in uncached tokens, and attempts out, oldest first. */
-        double queued;
-        final List<Attempt> out = new ArrayList<>();
-        /** Own streams' projected tokens, and the last reported share of memory (NaN: unheard). */
-        double projected;
-        double reported = Double.NaN;
-        /** Milliseconds for each unit of cost, in all, and of streaming for each token of the stand-in. */
-        final RecentMean pace = new RecentMean(SAMPLES, MEMORY_MS);
-        final RecentMean typicalMs = new RecentMean(SAMPLES, MEMORY_MS);
-        final RecentMean stream = new RecentMean(SAMPLES, MEMORY_MS);
+        final DeficitCounters.ReaderCounters counters = deficitCounters.newReader();
+        /** Uncached tokens of this node's reads in flight. */
+        double queuedTokens;
+        /** This node's attempts in flight, oldest first. */
+        final List<Attempt> inFlight = new ArrayList<>();
+        /** Projected tokens of this node's streams. */
+        double projectedTokens;
+        /** Last reported share of its memory in use, NaN before the first report. */
+        double reportedMemoryShare = Double.NaN;
+        /** Milliseconds for each unit of cost. */
+        final RecentMean pace = new RecentMean(MAX_SAMPLES, SAMPLE_FADE_MS);
+        /** Time from the send to the end of a read or to the first token, in milliseconds. */
+        final RecentMean latencyMs = new RecentMean(MAX_SAMPLES, SAMPLE_FADE_MS);
+        /** Streaming time for each expected output token, in milliseconds. */
+        final RecentMean streamMsPerToken = new RecentMean(MAX_SAMPLES, SAMPLE_FADE_MS);
         /** Share of outcomes that failed. */
-        final RecentMean failures = new RecentMean(SAMPLES, MEMORY_MS);
-        double heardMs, fullUntil;
-        /** When the last of those that were answered was sent: what was sent before has been overtaken. */
-        double answeredSentMs = Double.NEGATIVE_INFINITY;
+        final RecentMean failureRate = new RecentMean(MAX_SAMPLES, SAMPLE_FADE_MS);
+        /** Time of its last successful answer. */
+        double lastSuccessMs;
+        /** Until when it is passed over because it was full. */
+        double fullUntilMs;
+        /** Send time of the newest attempt that it answered: earlier attempts have been overtaken. */
+        double newestAnsweredSentMs = Double.NEGATIVE_INFINITY;
         /** Outlier detection: an engine is ejected while this is open. */
         final CircuitBreaker breaker = new CircuitBreaker();
+        /** Whether its last outcome was a failure that may have had an effect. */
         boolean failedLast;
-        /** The bucket of sends while cold. */
-        double coldBucket, coldAt;
+        /** Token bucket that limits the sends while it is cold, and when that was last filled. */
+        double coldBucket;
+        double coldBucketFilledMs;
 
         Engine(long id, double startedMs) {
             this.id = id;
@@ -124,78 +215,105 @@
         final Request request;
         final int number;
         final Engine engine;
-        final boolean read;
+        final boolean isRead;
         final double sentMs;
-        double cost, uncached, matched;
-        boolean ended, cancelled, begun, excused, failed, silent, unreachable;
-        /** Its engine as listed when it was sent, and how it ended. */
+        /** Expected work, in tokens for a read; 1 for a write. */
+        double cost;
+        double uncachedTokens;
+        double matchedTokens;
+        boolean ended;
+        boolean cancelled;
+        /** Whether its stream has begun. */
+        boolean streaming;
+        /** Whether it was left in flight once when it was overdue. */
+        boolean excused;
+        boolean failed;
+        /** Whether it ended without an answer and its engine had served nothing since the send. */
+        boolean silent;
+        boolean unreachable;
+        /** Its engine as listed when it was sent. */
         final ProtocolRules.Target target;
+        /** How it ended, or null while it is in flight. */
         Outcome outcome;
 
-        /** A reader takes prompts in turn: an answer to a later one says that this one's is lost. */
+        /** A reader processes prompts in order: an answer to a later one means that this one's is lost. */
         boolean overtaken() {
-            return engine.role == Role.READ && sentMs < engine.answeredSentMs;
+            return engine.role == Role.READ && sentMs < engine.newestAnsweredSentMs;
         }
 
-        Attempt(Request request, Engine engine, boolean read, double sentMs) {
+        Attempt(Request request, Engine engine, boolean isRead, double sentMs) {
             this.request = request;
             this.number = request.attempts.size();
             this.engine = engine;
-            this.read = read;
+            this.isRead = isRead;
             this.sentMs = sentMs;
             this.target = engine.target();
         }
 
-        /** When a read is no longer waited for: its reader, in turn, may hold a state since last heard. */
-        double doubtedMs() {
-            double sinceMs = overtaken() ? sentMs : Math.max(sentMs, engine.heardMs);
-            return Math.max(sentMs + expectedPatience(this), sinceMs + settings.rules().pinLimitMs());
+        /**
+         * When a read's answer is presumed lost. A reader processes prompts in order, so it may have held the
+         * state since its last answer.
+         */
+        double presumedLostMs() {
+            double sinceMs = overtaken() ? sentMs : Math.max(sentMs, engine.lastSuccessMs);
+            return Math.max(sentMs + expectedOverdueMs(this), sinceMs + settings.rules().pinLimitMs());
         }
 
-        /** As the rules see it. */
-        PriorAttempt prior() {
+        PriorAttempt toPriorAttempt() {
             return new PriorAttempt(target, sentMs, outcome);
         }
     }
 
     private final class Request {
-        final Arrival asked;
-        final RequestClass kind;
+        final Arrival arrival;
+        final RequestClass requestClass;
+        /** Client of the deficit counters: the tenant, or the request class if the tenant is unknown. */
         final int client;
-        final double aimMs, deadlineMs, expectedOutput;
+        /** When its first token is due by the goal of its class. */
+        final double goalAtMs;
+        final double deadlineMs;
+        final double expectedOutputTokens;
         final long session;
-        /** Uniform in [0, 1): cold engines take the requests with the lowest ones. */
-        final double draw = random.nextDouble();
+        /** Uniform in [0, 1): cold engines take the requests with the lowest draws. */
+        final double coldDraw = random.nextDouble();
         final List<Attempt> attempts = new ArrayList<>();
         Phase phase = Phase.READING;
-        /** Readers held to have its beginning from other nodes. */
-        List<Engine> homes = List.of();
-        double assumed;
-        /** Worth for each unit of work, lowered where it is over its tenant's share. */
-        double worth;
-        int out;
-        /** The reader whose state waits, and one whose state was reclaimed from a write that is out. */
-        Engine holder, doubted;
-        /** Whether any may be held, and for how long it may be. */
+        /** Readers that are assumed to hold its prefix because other nodes have sent it there. */
+        List<Engine> assumedHolders = List.of();
+        /** Tokens that each of those is assumed to hold. */
+        double assumedTokens;
+        /** Priority of its class, lowered if the request is over its tenant's share. */
+        double priority;
+        /** Number of attempts in flight. */
+        int inFlight;
+        /** The reader whose state waits to be fetched. */
+        Engine holder;
+        /** The reader whose state was reclaimed while a write was in flight. */
+        Engine reclaimedHolder;
+        /** Whether a state may be held for it. */
         boolean held;
         StateLease lease;
-        double firstMs;
+        double firstTokenMs;
 
-        Request(Arrival asked, RequestClass kind, int client) {
-            this.asked = asked;
-            this.kind = kind;
-            this.worth = kind.priority();
+        Request(Arrival arrival, RequestClass requestClass, int client) {
+            this.arrival = arrival;
+            this.requestClass = requestClass;
+            this.priority = requestClass.priority();
             this.client = client;
-            this.session = asked.session() != 0 ? asked.session() : random.nextLong();
-            this.aimMs = now + kind.aimMs() + kind.aimMsPerToken() * asked.promptTokens();
-            this.deadlineMs = now + asked.budgetMs();
-            double hinted = kind.tokenAimMs() > 0 ? asked.hintMs() / kind.tokenAimMs() : 0;
-            this.expectedOutput = hinted > 0 ? hinted : OUTPUT_SHARE * asked.maxOutput();
+            this.session = arrival.session() != 0 ? arrival.session() : random.nextLong();
+            this.goalAtMs = nowMs + requestClass.firstTokenGoalMs()
+                    + requestClass.goalMsPerPromptToken() * arrival.promptTokens();
+            this.deadlineMs = nowMs + arrival.budgetMs();
+            double hintedTokens = requestClass.tokenGoalMs() > 0
+                    ? arrival.hintMs() / requestClass.tokenGoalMs() : 0;
+            this.expectedOutputTokens = hintedTokens > 0 ? hintedTokens
+                    : EXPECTED_OUTPUT_SHARE * arrival.maxOutput();
         }
 
-        RequestState state() {
-            boolean over = phase == Phase.DONE || phase == Phase.STREAMING;
-            return new RequestState(kind, over, deadlineMs, attempts.stream().map(Attempt::prior).toList());
+        RequestState toRequestState() {
+            boolean answered = phase == Phase.DONE || phase == Phase.STREAMING;
+            return new RequestState(requestClass, answered, deadlineMs,
+                    attempts.stream().map(Attempt::toPriorAttempt).toList());
         }
     }
 
@@ -204,634 +322,697 @@
     private final EngineClock engineClock;
     private final TreeMap<Long, Engine> engines = new TreeMap<>();
     private final Map<Long, Request> requests = new LinkedHashMap<>();
-    private final PrefixTable<Engine> sessions = new PrefixTable<>(ENTRY_AGE);
-    private final PrefixTable<Engine> prefixes = new PrefixTable<>(ENTRY_AGE);
-    /** Arrivals of late with each beginning; key 0 stands for all. */
-    private final ArrivalCounts arrivals = new ArrivalCounts(ENTRY_AGE);
-    private final Map<Role, RoleStats> usual = new TreeMap<>();
-    /** Reads that ended well and first tokens. */
-    private final AnswerRates answers = new AnswerRates(RATE_MS);
-    /** Waits for a first token lately, wherever; one as long as the aim for a writer that was full. */
-    private final RecentMean firstTokens = new RecentMean(SAMPLES, MEMORY_MS);
-    /** The same for reads, beyond what they take at the calm pace: the least lately seen. */
-    private final RecentMean reads = new RecentMean(SAMPLES, MEMORY_MS);
-    private double calmPace = Double.POSITIVE_INFINITY;
-    private final DeficitCounters deficits = new DeficitCounters();
-    private final RetryBudget retries = new RetryBudget();
-    private final TenantShares shares;
-    private boolean askPending;
-    private double shutToldMs = Double.NEGATIVE_INFINITY;
-    private double now;
+    private final PrefixTable<Engine> sessionTable = new PrefixTable<>(LOCALITY_TTL_MS);
+    private final PrefixTable<Engine> prefixTable = new PrefixTable<>(LOCALITY_TTL_MS);
+    /** Recent arrivals by prefix or session; key 0 counts all arrivals. */
+    private final ArrivalCounts arrivalCounts = new ArrivalCounts(LOCALITY_TTL_MS);
+    /** Cache for the present step. */
+    private final Map<Role, RoleStats> roleStats = new TreeMap<>();
+    /** Rates of ended reads and first tokens. */
+    private final AnswerRates answerRates = new AnswerRates(RATE_FADE_MS);
+    /** Recent waits for a first token at any writer; a full writer counts as a wait as long as the goal. */
+    private final RecentMean firstTokenWaits = new RecentMean(MAX_SAMPLES, SAMPLE_FADE_MS);
+    /** Recent waits of reads at any reader, beyond the time that they take at the unqueued pace. */
+    private final RecentMean readWaits = new RecentMean(MAX_SAMPLES, SAMPLE_FADE_MS);
+    /** Lowest recent pace of a read, taken as the pace without queues. */
+    private double unqueuedPace = Double.POSITIVE_INFINITY;
+    private final DeficitCounters deficitCounters = new DeficitCounters();
+    private final RetryBudget retryBudget = new RetryBudget();
+    private final TenantShares tenantShares;
+    private boolean subscribePending;
+    private double admissionLoggedMs = Double.NEGATIVE_INFINITY;
+    private double nowMs;
     private List<Action> actions = new ArrayList<>();
 
-    /** Makes the module of a node that has just come up. */
+    /** Makes the module of a node that has just started. */
     public Logic(Settings settings) {
         this.settings = settings;
         this.random = new SplittableRandom(settings.seed());
         this.engineClock = new EngineClock(settings.rules());
-        this.shares = new TenantShares(settings.tenants(), settings.nodeCount());
+        this.tenantShares = new TenantShares(settings.tenants(), settings.nodeCount());
     }
 
     @Override
     public List<Action> step(double nowMs, List<? extends Event> events) {
-        now = nowMs;
+        this.nowMs = nowMs;
         actions = new ArrayList<>();
-        usual.clear();
+        roleStats.clear();
         for (Event event : events) {
             if (event instanceof Arrival arrival) onArrival(arrival);
             if (event instanceof Ended ended) onEnded(ended);
-            if (event instanceof FirstToken first) onFirstToken(first);
+            if (event instanceof FirstToken firstToken) onFirstToken(firstToken);
             if (event instanceof Timer timer) onTimer(timer.token());
             if (event instanceof Members members) onMembers(members);
-            if (event instanceof Abandoned gone) close(requests.get(gone.id()));
+            if (event instanceof Abandoned abandoned) close(requests.get(abandoned.id()));
         }
         return actions;
     }
 
-    private void onMembers(Members news) {
-        if (settings.mustSubscribe() && news.kind() == ListKind.REMEMBERED) actions.add(new Subscribe());
-        if (news.kind() == ListKind.FAILED) {
-            if (!askPending) setTimer(0, 0, TimerKind.ASK, now + ASK_AGAIN_MS);
-            askPending = true;
+    private void onMembers(Members list) {
+        if (settings.mustSubscribe() && list.kind() == ListKind.REMEMBERED) actions.add(new Subscribe());
+        if (list.kind() == ListKind.FAILED) {
+            if (!subscribePending) setTimer(0, 0, TimerKind.SUBSCRIBE, nowMs + SUBSCRIBE_RETRY_MS);
+            subscribePending = true;
             return;
         }
-        engineClock.hear(news.kind(), news.members(), now);
-        List<Long> named = news.members().stream().map(Member::engine).toList();
-        if (news.kind() != ListKind.CHANGES) engines.keySet().retainAll(named);
-        for (Member member : news.members()) {
-            Engine known = engines.get(member.engine());
+        engineClock.onList(list.kind(), list.members(), nowMs);
+        List<Long> listed = list.members().stream().map(Member::engine).toList();
+        if (list.kind() != ListKind.CHANGES) engines.keySet().retainAll(listed);
+        for (Member member : list.members()) {
+            Engine engine = engines.get(member.engine());
             if (member.state() == State.GONE || member.kind() >= settings.kinds().size()) {
                 engines.remove(member.engine());
                 engineClock.forget(member.engine());
                 continue;
             }
-            // A process that started anew holds nothing, and what was learned of it is of no use.
+            // A restarted process holds no state, and what was learned of the earlier one is void.
             double startedMs = engineClock.startedMs(member.engine());
-            if (known == null || startedMs != known.startedMs) {
-                known = new Engine(member.engine(), startedMs);
-                // Nodes that have just come up together must not all hold a send for a newcomer.
-                known.coldBucket = random.nextDouble() - (answers.isEmpty() ? 1 : 0);
-                known.coldAt = now;
-                engines.put(member.engine(), known);
+            if (engine == null || startedMs != engine.startedMs) {
+                engine = new Engine(member.engine(), startedMs);
+                // Nodes that have just started together must not all have a send ready for a new engine.
+                engine.coldBucket = random.nextDouble() - (answerRates.isEmpty() ? 1 : 0);
+                engine.coldBucketFilledMs = nowMs;
+                engines.put(member.engine(), engine);
             }
-            known.member = member;
-            known.role = settings.kinds().get(member.kind()).role();
-            known.ready = member.state() == State.READY;
+            engine.member = member;
+            engine.role = settings.kinds().get(member.kind()).role();
+            engine.ready = member.state() == State.READY;
         }
     }
 
-    private void onArrival(Arrival told) {
-        Arrival arrival = Bounds.clamp(told);
+    private void onArrival(Arrival received) {
+        Arrival arrival = Bounds.clamp(received);
         int classes = settings.classes().size();
         if (arrival.kind() >= classes) {
             actions.add(new Refuse(arrival.id(), 0, EndReason.UNKNOWN_CLASS));
             return;
         }
-        boolean tenant = arrival.tenant() < settings.tenants().size();
+        boolean hasTenant = arrival.tenant() < settings.tenants().size();
         Request request = new Request(arrival, settings.classes().get(arrival.kind()),
-                tenant ? classes + arrival.tenant() : arrival.kind());
-        if (tenant && shares.isOver(arrival.tenant(), now)) request.worth *= settings.overSharePriorityFactor();
+                hasTenant ? classes + arrival.tenant() : arrival.kind());
+        if (hasTenant && tenantShares.isOver(arrival.tenant(), nowMs))
+            request.priority *= settings.overSharePriorityFactor();
         requests.put(arrival.id(), request);
-        if (lastMoment(request) <= now) {
+        if (answerByMs(request) <= nowMs) {
             giveUp(request, EndReason.DEADLINE);
             return;
         }
-        arrivals.add(0, now);
-        if (arrival.prefix() != 0) arrivals.add(arrival.prefix(), now);
-        retries.onArrival(arrivals.of(0, now));
-        setTimer(arrival.id(), 0, TimerKind.DEADLINE, lastMoment(request));
-        if (overloaded(request)) giveUp(request, EndReason.OVERLOAD);
-        else read(request, null);
+        arrivalCounts.add(0, nowMs);
+        if (arrival.prefix() != 0) arrivalCounts.add(arrival.prefix(), nowMs);
+        retryBudget.onArrival(arrivalCounts.count(0, nowMs));
+        setTimer(arrival.id(), 0, TimerKind.DEADLINE, answerByMs(request));
+        if (isOverloaded(request)) giveUp(request, EndReason.OVERLOAD);
+        else sendRead(request, null);
     }
 
-    private void onFirstToken(FirstToken first) {
-        Attempt attempt = attemptOf(first.id(), first.attempt());
+    private void onFirstToken(FirstToken firstToken) {
+        Attempt attempt = attemptInFlight(firstToken.id(), firstToken.attempt());
         if (attempt == null || attempt.request.phase == Phase.STREAMING) return;
         Request request = attempt.request;
         request.holder = null;
         request.held = false;
-        request.firstMs = now;
-        attempt.begun = true;
+        request.firstTokenMs = nowMs;
+        attempt.streaming = true;
         if (request.phase != Phase.DONE) request.phase = Phase.STREAMING;
-        observePace(attempt, first.spentMs());
-        firstTokens.add(Math.min(Bounds.clamp(first.spentMs()), request.kind.aimMs()), now);
-        good(attempt.engine);
+        observePace(attempt, firstToken.elapsedMs());
+        firstTokenWaits.add(
+                Math.min(Bounds.clamp(firstToken.elapsedMs()), request.requestClass.firstTokenGoalMs()),
+                nowMs);
+        recordSuccess(attempt.engine);
         request.attempts.stream().filter(a -> a != attempt).forEach(this::cancel);
     }
 
     private void onEnded(Ended ended) {
-        Attempt attempt = attemptOf(ended.id(), ended.attempt());
+        Attempt attempt = attemptInFlight(ended.id(), ended.attempt());
         if (attempt == null) return;
         Request request = attempt.request;
         attempt.ended = true;
         attempt.outcome = ended.outcome();
         attempt.failed = ended.outcome() != Outcome.READ && ended.outcome() != Outcome.SERVED;
-        // Silent towards us altogether, as an engine that has stopped or is cut off is.
-        attempt.silent = !StateLease.isAnswer(ended.outcome()) && attempt.engine.heardMs < attempt.sentMs;
+        // An engine that has stopped or is cut off from this node answers nothing at all.
+        attempt.silent = !StateLease.isEngineAnswer(ended.outcome())
+                && attempt.engine.lastSuccessMs < attempt.sentMs;
         attempt.unreachable = ended.outcome() == Outcome.UNREACHABLE;
-        request.out--;
-        if (request.held) request.lease.onAttemptEnded(ended.outcome(), now);
-        if (ended.outcome() == Outcome.READ) hold(request);
-        account(attempt, ended);
+        request.inFlight--;
+        if (request.held) request.lease.onAttemptEnded(ended.outcome(), nowMs);
+        if (ended.outcome() == Outcome.READ) startLease(request);
+        updateEngineLoad(attempt, ended);
         recordOutcome(attempt, ended);
         if (request.phase == Phase.DONE) cleanUp(request);
         else if (ended.outcome() == Outcome.SERVED || ended.requestClosed()) close(request);
-        else if (ended.outcome() == Outcome.READ) onRead(request, attempt);
+        else if (ended.outcome() == Outcome.READ) onReadDone(request, attempt);
         else onFailure(request, attempt, ended.outcome());
     }
 
-    private void hold(Request request) {
+    private void startLease(Request request) {
         request.held = true;
-        request.lease = new StateLease(settings.rules().pinLimitMs(), now);
+        request.lease = new StateLease(settings.rules().pinLimitMs(), nowMs);
     }
 
     private void onTimer(long token) {
-        TimerKind alarm = TimerKind.values()[(int) (token & 15)];
+        TimerKind kind = TimerKind.values()[(int) (token & 15)];
         Request request = requests.get(token >>> 12);
-        if (alarm == TimerKind.ASK) {
-            askPending = false;
+        if (kind == TimerKind.SUBSCRIBE) {
+            subscribePending = false;
             actions.add(new Subscribe());
         }
         if (request == null) return;
-        if (alarm == TimerKind.DEADLINE) giveUp(request, EndReason.DEADLINE);
-        if (alarm == TimerKind.RESELECT) reselect(request);
-        if (alarm == TimerKind.LEASE) leaseEnds(request, (int) (token >>> 4 & 255));
-        if (alarm == TimerKind.OVERDUE) overdue(request, (int) (token >>> 4 & 255));
-        if (alarm == TimerKind.DOUBT) doubtRead(request, (int) (token >>> 4 & 255));
-        // A read that is out then has no writer any more to which its state may go.
+        if (kind == TimerKind.DEADLINE) giveUp(request, EndReason.DEADLINE);
+        if (kind == TimerKind.RESELECT) reselect(request);
+        if (kind == TimerKind.LEASE) onLeaseEnd(request, (int) (token >>> 4 & 255));
+        if (kind == TimerKind.OVERDUE) onOverdue(request, (int) (token >>> 4 & 255));
+        if (kind == TimerKind.LOST_READ) checkLostRead(request, (int) (token >>> 4 & 255));
+        // After the repeat window, no writer is left to which the state of a read in flight may go.
         boolean reading = request.phase == Phase.READING;
-        if (alarm == TimerKind.WINDOW && reading) giveUp(request, EndReason.MAY_HAVE_RUN);
+        if (kind == TimerKind.REPEAT_WINDOW && reading) giveUp(request, EndReason.MAY_HAVE_RUN);
     }
 
-    private Attempt attemptOf(long id, int number) {
+    /** The attempt with that number, or null if it does not exist or has ended. */
+    private Attempt attemptInFlight(long id, int number) {
         Request request = requests.get(id);
         if (request == null || number >= request.attempts.size()) return null;
         return request.attempts.get(number).ended ? null : request.attempts.get(number);
     }
 
-    private void setTimer(long id, int attempt, TimerKind alarm, double at) {
-        actions.add(new SetTimer(id << 12 | (long) (attempt & 255) << 4 | alarm.ordinal(), at));
+    private void setTimer(long id, int attempt, TimerKind kind, double atMs) {
+        actions.add(new SetTimer(id << 12 | (long) (attempt & 255) << 4 | kind.ordinal(), atMs));
     }
 
     // ---- Reader: D2LPM ----
 
-    /** Sends the prompt to a reader, or looks again a little later if none can take it. */
-    private void read(Request request, Engine not) {
+    /** Sends the prompt to a reader, or tries again a little later if none can take it. */
+    private void sendRead(Request request, Engine excluded) {
         request.phase = Phase.READING;
-        Engine reader = chooseReader(request, not);
-        if (reader == null) wait(request);
+        Engine reader = chooseReader(request, excluded);
+        if (reader == null) scheduleReselect(request);
         if (reader == null) return;
-        double matched = matchedTokens(request, reader);
-        double uncached = Math.max(0, request.asked.promptTokens() - matched);
-        reader.counters.charge(request.client, request.asked.promptTokens());
-        if (send(request, reader, true, uncached, matched)) learn(request, reader);
+        double matchedTokens = matchedTokens(request, reader);
+        double uncachedTokens = Math.max(0, request.arrival.promptTokens() - matchedTokens);
+        reader.counters.charge(request.client, request.arrival.promptTokens());
+        if (send(request, reader, true, uncachedTokens, matchedTokens)) recordLocality(request, reader);
     }
 
-    private Engine chooseReader(Request request, Engine not) {
-        List<Engine> able = able(request, not, e -> reads(e));
-        if (able.isEmpty()) return null;
-        return spill(request, d2lpm(request, able, longestMatch(request, able)), able);
+    private Engine chooseReader(Request request, Engine excluded) {
+        List<Engine> eligible = eligible(request, excluded, e -> canRead(e));
+        if (eligible.isEmpty()) return null;
+        return spill(request, selectByD2lpm(request, eligible, longestMatch(request, eligible)), eligible);
     }
 
-    private boolean reads(Engine engine) {
+    private boolean canRead(Engine engine) {
         return engine.role != Role.WRITE || settings.limits().writersRead()
                 && engines.values().stream().noneMatch(e -> e.ready && e.role != Role.WRITE);
     }
 
-    /** SelectWorker of the paper's Algorithm 2. */
-    private Engine d2lpm(Request request, List<Engine> able, List<Engine> matched) {
-        double most = able.stream().mapToDouble(e -> e.counters.credit(request.client)).max().orElse(0);
-        deficits.growIfSpent(request.client, most);
-        Engine held = leastQueued(matched, request);
-        return held != null ? held : leastQueued(able, request);
+    /** SelectWorker of Algorithm 2 in the D2LPM paper. */
+    private Engine selectByD2lpm(Request request, List<Engine> eligible, List<Engine> matched) {
+        double largestCredit = eligible.stream().mapToDouble(e -> e.counters.credit(request.client)).max()
+                .orElse(0);
+        deficitCounters.growIfSpent(request.client, largestCredit);
+        Engine holder = leastQueued(matched, request);
+        return holder != null ? holder : leastQueued(eligible, request);
     }
 
     /**
-     * Exception to D2LPM: a matched reader that is expected to use up the aim gives way to the least queued
-     * one if that is expected to take under half as long. Guards against a hot beginning, a slow holder and
-     * queues of other nodes; could harm by spreading a beginning over readers that then evict others.
+     * Exception to D2LPM: a matched reader that is slow, or expected to take up too much of the time to the
+     * goal, gives way to the reader that is expected to be fastest, if that takes less than half as long; in
+     * place of a slow one, any shorter time is enough. Guards against a hot prefix, a slow holder and queues
+     * of other nodes. Could harm by spreading a prefix over readers that then evict other prefixes.
      */
-    private Engine spill(Request request, Engine chosen, List<Engine> able) {
-        double here = expectedMs(request, chosen);
-        boolean slow = relativePace(chosen) >= REMARKABLE;
-        if (!slow && here <= SPILL * (request.aimMs - now)) return chosen;
-        Engine other = least(able, e -> expectedMs(request, e), random.nextLong());
-        return expectedMs(request, other) < (slow ? here : here / 2) ? other : chosen;
+    private Engine spill(Request request, Engine chosen, List<Engine> eligible) {
+        double chosenMs = expectedReadMs(request, chosen);
+        boolean slow = relativePace(chosen) >= NOTABLE_RATIO;
+        if (!slow && chosenMs <= SPILL_GOAL_SHARE * (request.goalAtMs - nowMs)) return chosen;
+        Engine other = min(eligible, e -> expectedReadMs(request, e), random.nextLong());
+        return expectedReadMs(request, other) < (slow ? chosenMs : chosenMs / 2) ? other : chosen;
     }
 
-    /** By own reads, or by what the oldest of them has waited: it shows all nodes' queue, and silence. */
-    private double expectedMs(Request request, Engine reader) {
-        return Math.max(readMs(reader, reader.queued + needed(request, reader)), oldestMs(reader));
+    /** By this node's reads, or by the age of the oldest: that reveals other nodes' queues, and silence. */
+    private double expectedReadMs(Request request, Engine reader) {
+        return Math.max(readMs(reader, reader.queuedTokens + neededTokens(request, reader)),
+                oldestWaitMs(reader));
     }
 
-    /** What a request has to have read at a reader, with the fixed cost of a read. */
-    private double needed(Request request, Engine reader) {
-        return Math.max(0, request.asked.promptTokens() - matchedTokens(request, reader)) + READ_OVERHEAD;
+    /** Tokens that a request needs to have read at a reader, with the fixed cost of a read. */
+    private double neededTokens(Request request, Engine reader) {
+        return Math.max(0, request.arrival.promptTokens() - matchedTokens(request, reader))
+                + READ_OVERHEAD_TOKENS;
     }
 
     private double readMs(Engine reader, double tokens) {
-        double pace = usual(reader).pace;
+        double pace = roleStats(reader).pace;
         return Double.isNaN(pace) ? 0 : pace * relativePace(reader) * tokens;
     }
 
-    /** By own reads queued, in uncached tokens, by the speed seen; equals by the session's hash. */
-    private Engine leastQueued(List<Engine> among, Request request) {
-        return least(among.stream().filter(e -> e.counters.credit(request.client) > 0).toList(),
-                e -> (e.queued + READ_OVERHEAD) * relativePace(e), request.session);
-    }
-
-    /** The able readers that hold the longest match, as far as known or likely; else the key's homes. */
-    private List<Engine> longestMatch(Request request, List<Engine> able) {
-        // With more history than beginning the session's home is what all nodes agree on.
-        boolean most = request.asked.promptTokens() > 2 * request.asked.prefixTokens();
-        boolean history = most && request.asked.session() != 0;
-        long key = history ? request.asked.session() : request.asked.prefix();
-        double seen = arrivals.of(key, now);
-        // Without the present arrival, which would make every beginning hot at a node that sees little.
-        double before = Math.max(0, seen - 1);
-        double spread = HOME_SPREAD * able.size() * before;
-        double count = history ? 1 : Math.ceil(spread / (arrivals.of(0, now) + HOME_PRIOR));
-        List<Engine> homes = key == 0 ? List.of() : able.stream()
+    /**
+     * The reader with credit that has the least work queued by this node, in uncached tokens weighted by its
+     * observed pace; the session's hash decides between equals.
+     */
+    private Engine leastQueued(List<Engine> candidates, Request request) {
+        return min(candidates.stream().filter(e -> e.counters.credit(request.client) > 0).toList(),
+                e -> (e.queuedTokens + READ_OVERHEAD_TOKENS) * relativePace(e), request.session);
+    }
+
+    /**
+     * The eligible readers that hold the longest match, as far as known or likely; if none holds any, the
+     * owners of the session or prefix by rendezvous hashing.
+     */
+    private List<Engine> longestMatch(Request request, List<Engine> eligible) {
+        // With more history than prefix, all nodes agree on the owner of the session.
+        boolean mostlyHistory = request.arrival.promptTokens() > 2 * request.arrival.prefixTokens();
+        boolean bySession = mostlyHistory && request.arrival.session() != 0;
+        long key = bySession ? request.arrival.session() : request.arrival.prefix();
+        double recent = arrivalCounts.count(key, nowMs);
+        // The present arrival is left out: it would make every prefix hot at a node with few arrivals.
+        double earlier = Math.max(0, recent - 1);
+        double spread = OWNER_SPREAD_FACTOR * eligible.size() * earlier;
+        double ownerCount = bySession ? 1
+                : Math.ceil(spread / (arrivalCounts.count(0, nowMs) + OWNER_PRIOR_ARRIVALS));
+        List<Engine> owners = key == 0 ? List.of() : eligible.stream()
                 .sorted(Comparator.comparingLong(e -> Rendezvous.weight(key, e.id)))
-                .limit((long) Math.max(1, count)).toList();
-        boolean sentByOthers = seen * (settings.nodeCount() - 1) > homes.size();
-        request.homes = sentByOthers || history && settings.nodeCount() > 1 ? homes : List.of();
-        request.assumed = history ? HISTORY * request.asked.promptTokens() : request.asked.prefixTokens();
-        double longest = able.stream().mapToDouble(e -> matchedTokens(request, e)).max().orElse(0);
-        return longest > 0 ? able.stream().filter(e -> matchedTokens(request, e) >= longest).toList() : homes;
+                .limit((long) Math.max(1, ownerCount)).toList();
+        boolean sentByOthers = recent * (settings.nodeCount() - 1) > owners.size();
+        request.assumedHolders = sentByOthers || bySession && settings.nodeCount() > 1 ? owners : List.of();
+        request.assumedTokens = bySession ? CACHED_HISTORY_SHARE * request.arrival.promptTokens()
+                : request.arrival.prefixTokens();
+        double longest = eligible.stream().mapToDouble(e -> matchedTokens(request, e)).max().orElse(0);
+        return longest > 0 ? eligible.stream().filter(e -> matchedTokens(request, e) >= longest).toList()
+                : owners;
     }
 
     private double matchedTokens(Request request, Engine engine) {
-        double session = sessions.heldTokens(request.asked.session(), engine, now);
-        double prefix = prefixes.heldTokens(request.asked.prefix(), engine, now);
-        if (request.homes.contains(engine)) prefix = Math.max(prefix, request.assumed);
-        return Math.min(Math.max(session, prefix), request.asked.promptTokens());
+        double sessionTokens = sessionTable.heldTokens(request.arrival.session(), engine, nowMs);
+        double prefixTokens = prefixTable.heldTokens(request.arrival.prefix(), engine, nowMs);
+        if (request.assumedHolders.contains(engine))
+            prefixTokens = Math.max(prefixTokens, request.assumedTokens);
+        return Math.min(Math.max(sessionTokens, prefixTokens), request.arrival.promptTokens());
     }
 
-    private void learn(Request request, Engine reader) {
-        sessions.put(request.asked.session(), reader, request.asked.promptTokens(), now);
-        prefixes.put(request.asked.prefix(), reader, request.asked.prefixTokens(), now);
+    private void recordLocality(Request request, Engine reader) {
+        sessionTable.put(request.arrival.session(), reader, request.arrival.promptTokens(), nowMs);
+        prefixTable.put(request.arrival.prefix(), reader, request.arrival.prefixTokens(), nowMs);
     }
 
-    private void drop(Request request, Engine engine) {
-        sessions.drop(request.asked.session(), engine);
-        prefixes.drop(request.asked.prefix(), engine);
+    private void dropLocality(Request request, Engine engine) {
+        sessionTable.drop(request.arrival.session(), engine);
+        prefixTable.drop(request.arrival.prefix(), engine);
     }
 
     // ---- Writer: lowest projected memory, chosen when the read has ended ----
 
-    private void onRead(Request request, Attempt attempt) {
+    private void onReadDone(Request request, Attempt attempt) {
         if (request.phase == Phase.WRITING || request.phase == Phase.HOLDING) return;
         request.holder = attempt.engine;
         request.attempts.stream().filter(a -> a != attempt).forEach(this::cancel);
-        write(request, null);
+        sendWrite(request, null);
     }
 
-    private void write(Request request, Engine not) {
+    private void sendWrite(Request request, Engine excluded) {
         request.phase = Phase.HOLDING;
-        Engine writer = chooseWriter(request, not);
+        Engine writer = chooseWriter(request, excluded);
         if (writer == null || !send(request, writer, false, 0, 0)) {
-            if (request.phase == Phase.HOLDING) wait(request);
+            if (request.phase == Phase.HOLDING) scheduleReselect(request);
             return;
         }
         request.phase = Phase.WRITING;
     }
 
-    private Engine chooseWriter(Request request, Engine not) {
-        double average = engines.values().stream().filter(e -> e.ready && !Double.isNaN(e.reported))
-                .mapToDouble(e -> e.reported).average().orElse(0);
-        List<Engine> able = able(request, not, e -> e.role != Role.READ);
-        int near = able.isEmpty() ? 0 : nearCell(request.holder, able);
-        return least(able, e -> projectedShare(e, request, average) + distance(request.holder, e, near)
-                + WAIT_SHARE * waitMs(e) / request.kind.aimMs(), random.nextLong());
+    private Engine chooseWriter(Request request, Engine excluded) {
+        double averageShare = engines.values().stream()
+                .filter(e -> e.ready && !Double.isNaN(e.reportedMemoryShare))
+                .mapToDouble(e -> e.reportedMemoryShare).average().orElse(0);
+        List<Engine> eligible = eligible(request, excluded, e -> e.role != Role.READ);
+        int near = eligible.isEmpty() ? 0 : nearCell(request.holder, eligible);
+        return min(eligible, e -> projectedMemoryShare(e, request, averageShare)
+                + distancePenalty(request.holder, e, near)
+                + WAIT_PENALTY * waitMs(e) / request.requestClass.firstTokenGoalMs(), random.nextLong());
     }
 
-    private int nearCell(Engine holder, List<Engine> able) {
+    private int nearCell(Engine holder, List<Engine> eligible) {
         if (holder == null) return -1;
         List<Member> readers = peers(holder).stream().map(e -> e.member).toList();
-        List<Member> writers = able.stream().map(e -> e.member).toList();
+        List<Member> writers = eligible.stream().map(e -> e.member).toList();
         return new CellShares(readers, writers).nearCell(holder.member.cell(), random);
     }
 
-    /** Own streams, each as its prompt and the stand-in for its output, this one, and the last report. */
-    private double projectedShare(Engine engine, Request request, double average) {
-        double memory = Math.max(1, settings.kinds().get(engine.member.kind()).memoryTokens());
-        double own = (engine.projected + request.asked.promptTokens() + request.expectedOutput) / memory;
-        return own * relativeStream(engine) + (Double.isNaN(engine.reported) ? average : engine.reported);
+    /**
+     * Share of an engine's memory that would be in use with this request: the prompts and expected outputs of
+     * this node's streams and of the request, and the last report.
+     */
+    private double projectedMemoryShare(Engine engine, Request request, double averageShare) {
+        double memoryTokens = Math.max(1, settings.kinds().get(engine.member.kind()).memoryTokens());
+        double ownShare = (engine.projectedTokens + request.arrival.promptTokens()
+                + request.expectedOutputTokens) / memoryTokens;
+        return ownShare * relativeStreamPace(engine)
+                + (Double.isNaN(engine.reportedMemoryShare) ? averageShare : engine.reportedMemoryShare);
     }
 
-    private static double distance(Engine from, Engine to, int near) {
+    private static double distancePenalty(Engine from, Engine to, int near) {
         if (from == null || to.member.cell() == near) return 0;
-        return sameZone(from, to) ? FAR_CELL : FAR_ZONE;
+        return sameZone(from, to) ? OTHER_CELL_PENALTY : OTHER_ZONE_PENALTY;
     }
 
-    // ---- Health: outlier detection against peers of the role ----
+    // ---- Health: outlier detection against the peers of the role ----
 
     private void recordOutcome(Attempt attempt, Ended ended) {
         Engine engine = attempt.engine;
-        if (!Double.isNaN(ended.load().memoryShare())) engine.reported = ended.load().memoryShare();
+        if (!Double.isNaN(ended.load().memoryShare()))
+            engine.reportedMemoryShare = ended.load().memoryShare();
         switch (ended.outcome()) {
             case READ -> {
-                // What was really read: other nodes' prompts decide what is kept.
-                double kept = Double.isNaN(ended.cachedTokens()) ? attempt.matched : Bounds.clamp(ended.cachedTokens());
-                double read = Math.max(0, attempt.request.asked.promptTokens() - kept);
-                attempt.cost += read - attempt.uncached;
-                observePace(attempt, ended.spentMs());
-                good(engine);
-                if (kept < KEPT_SHARE * attempt.matched) {
-                    // A cache that was flushed or is too small: what else we think is there is doubtful too.
-                    drop(attempt.request, engine);
-                    learn(attempt.request, engine);
+                // What had to be read in fact: other nodes' prompts decide what stays cached.
+                double cachedTokens = Double.isNaN(ended.cachedTokens()) ? attempt.matchedTokens
+                        : Bounds.clamp(ended.cachedTokens());
+                double readTokens = Math.max(0, attempt.request.arrival.promptTokens() - cachedTokens);
+                attempt.cost += readTokens - attempt.uncachedTokens;
+                observePace(attempt, ended.elapsedMs());
+                recordSuccess(engine);
+                if (cachedTokens < MIN_CACHED_SHARE * attempt.matchedTokens) {
+                    // The cache was flushed or is too small, so older entries are replaced by this read's.
+                    dropLocality(attempt.request, engine);
+                    recordLocality(attempt.request, engine);
                 }
             }
             case SERVED -> {
-                good(engine);
-                double seen = (now - attempt.request.firstMs) / attempt.request.expectedOutput;
-                if (attempt.request.expectedOutput >= 1 && seen >= 0) engine.stream.add(seen, now);
+                recordSuccess(engine);
+                double msPerToken = (nowMs - attempt.request.firstTokenMs)
+                        / attempt.request.expectedOutputTokens;
+                if (attempt.request.expectedOutputTokens >= 1 && msPerToken >= 0)
+                    engine.streamMsPerToken.add(msPerToken, nowMs);
             }
             case FULL -> {
-                engine.fullUntil = now + FULL_MS;
-                (attempt.read ? reads : firstTokens).add(attempt.request.kind.aimMs(), now);
+                engine.fullUntilMs = nowMs + FULL_BACK_OFF_MS;
+                (attempt.isRead ? readWaits : firstTokenWaits)
+                        .add(attempt.request.requestClass.firstTokenGoalMs(), nowMs);
             }
             case ERROR, RESET, UNREACHABLE, TIMEOUT -> {
-                bad(engine, attempt);
+                recordFailure(engine, attempt);
                 engine.failedLast = !ended.outcome().hadNoEffect;
             }
             default -> {}
         }
     }
 
-    private void observePace(Attempt attempt, double spentMs) {
+    private void observePace(Attempt attempt, double elapsedMs) {
         Engine engine = attempt.engine;
-        answers.add(engine.role, now);
-        if (!(spentMs > 0 && spentMs < Bounds.MOST) || !(attempt.cost > 0)) return;
-        engine.answeredSentMs = Math.max(engine.answeredSentMs, attempt.sentMs);
-        if (attempt.read) {
-            calmPace = Math.min(spentMs / attempt.cost, calmPace * CALM_DRIFT);
-            reads.add(Math.min(spentMs - calmPace * attempt.cost, attempt.request.kind.aimMs()), now);
+        answerRates.add(engine.role, nowMs);
+        if (!(elapsedMs > 0 && elapsedMs < Bounds.MAX) || !(attempt.cost > 0)) return;
+        engine.newestAnsweredSentMs = Math.max(engine.newestAnsweredSentMs, attempt.sentMs);
+        if (attempt.isRead) {
+            unqueuedPace = Math.min(elapsedMs / attempt.cost, unqueuedPace * UNQUEUED_PACE_GROWTH);
+            readWaits.add(Math.min(elapsedMs - unqueuedPace * attempt.cost,
+                    attempt.request.requestClass.firstTokenGoalMs()), nowMs);
         }
-        engine.pace.add(spentMs / attempt.cost, now);
-        engine.typicalMs.add(spentMs, now);
-        // So slow that aims are at stake: a queue alone does not eject.
-        double floor = SLOW_AT * settings.classes().stream().mapToDouble(RequestClass::aimMs).min().orElse(0);
-        boolean slow = engine.pace.weight(now) >= ENOUGH && relativePace(engine) > SLOW_OUTLIER;
-        if (slow && engine.typicalMs.mean() > floor) eject(engine, "slow");
-    }
-
-    /** How slowly an engine streams against its peers, running streams counted; 1 if unknown. */
-    private double relativeStream(Engine engine) {
-        double usual = usual(engine).stream;
-        double running = engine.out.stream().filter(a -> a.begun && a.request.expectedOutput >= 1)
-                .mapToDouble(a -> (now - a.request.firstMs) / a.request.expectedOutput).average().orElse(0);
-        double begun = usual > 0 ? running / usual : 0;
-        return Math.max(MIN_RELATIVE, Math.max(begun, relative(engine.stream, usual)));
+        engine.pace.add(elapsedMs / attempt.cost, nowMs);
+        engine.latencyMs.add(elapsedMs, nowMs);
+        // An engine is ejected only if it is slow enough to endanger goals, not for a queue alone.
+        double floorMs = SLOW_MIN_GOAL_SHARE
+                * settings.classes().stream().mapToDouble(RequestClass::firstTokenGoalMs).min().orElse(0);
+        boolean slow = engine.pace.weight(nowMs) >= MIN_SAMPLES && relativePace(engine) > SLOW_OUTLIER_RATIO;
+        if (slow && engine.latencyMs.mean() > floorMs) eject(engine, "slow");
+    }
+
+    /** An engine's streaming time against its peers', running streams included; 1 if unknown. */
+    private double relativeStreamPace(Engine engine) {
+        double usual = roleStats(engine).streamMsPerToken;
+        double running = engine.inFlight.stream()
+                .filter(a -> a.streaming && a.request.expectedOutputTokens >= 1)
+                .mapToDouble(a -> (nowMs - a.request.firstTokenMs) / a.request.expectedOutputTokens)
+                .average().orElse(0);
+        double relativeRunning = usual > 0 ? running / usual : 0;
+        return Math.max(MIN_RELATIVE_STREAM,
+                Math.max(relativeRunning, relative(engine.streamMsPerToken, usual)));
     }
 
     /** An engine's pace against the median of its peers; 1 while too little is known. */
     private double relativePace(Engine engine) {
-        return relative(engine.pace, usual(engine).pace);
+        return relative(engine.pace, roleStats(engine).pace);
     }
 
-    /** Few samples count against one usual one, and not at all while they are unremarkable. */
-    private double relative(RecentMean seen, double usual) {
-        double weight = seen.weight(now);
-        double relative = usual > 0 ? (weight * seen.mean() / usual + 1) / (weight + 1) : 1;
-        return weight < ENOUGH && relative < REMARKABLE ? 1 : relative;
+    /**
+     * The mean against a usual value, averaged with one sample of the usual value; 1 if the samples are few
+     * and the result is not notable.
+     */
+    private double relative(RecentMean observed, double usual) {
+        double weight = observed.weight(nowMs);
+        double relative = usual > 0 ? (weight * observed.mean() / usual + 1) / (weight + 1) : 1;
+        return weight < MIN_SAMPLES && relative < NOTABLE_RATIO ? 1 : relative;
     }
 
-    private RoleStats usual(Engine engine) {
-        return usual.computeIfAbsent(engine.role, role -> {
+    private RoleStats roleStats(Engine engine) {
+        return roleStats.computeIfAbsent(engine.role, role -> {
             List<Engine> peers = peers(engine);
-            double share = COLD_LOAD * peers.size() / peers.stream().mapToDouble(this::presentCapacity).sum();
-            double rate = answers.perMs(role, now) / Math.max(1, peers.size());
-            return new RoleStats(median(peers, e -> e.pace), median(peers, e -> e.typicalMs),
-                    median(peers, e -> e.stream), median(peers, e -> e.failures), rate,
-                    Math.min(share, COLD_MOST * settings.rules().tipMultiple()));
+            double share = COLD_LOAD_FACTOR * peers.size()
+                    / peers.stream().mapToDouble(this::currentCapacity).sum();
+            double answersPerMs = answerRates.perMs(role, nowMs) / Math.max(1, peers.size());
+            return new RoleStats(median(peers, e -> e.pace), median(peers, e -> e.latencyMs),
+                    median(peers, e -> e.streamMsPerToken), median(peers, e -> e.failureRate), answersPerMs,
+                    Math.min(share, MAX_COLD_LOAD_SHARE * settings.rules().tipMultiple()));
         });
     }
 
-    private double median(List<Engine> among, Function<Engine, RecentMean> of) {
-        return RecentMean.median(among.stream().map(of), SOME, now);
+    private double median(List<Engine> engines, Function<Engine, RecentMean> mean) {
+        return RecentMean.median(engines.stream().map(mean), MIN_PEER_SAMPLES, nowMs);
     }
 
+    /** The engines of the same role that are ready, the engine itself included. */
     private List<Engine> peers(Engine engine) {
         return engines.values().stream().filter(e -> e.ready && e.role == engine.role).toList();
     }
 
-    private void good(Engine engine) {
-        engine.heardMs = now;
+    private void recordSuccess(Engine engine) {
+        engine.lastSuccessMs = nowMs;
         engine.failedLast = false;
-        engine.failures.add(0, now);
-        engine.breaker.onSuccess(now);
+        engine.failureRate.add(0, nowMs);
+        engine.breaker.onSuccess(nowMs);
     }
 
-    private void bad(Engine engine, Attempt attempt) {
-        // Silence says less of an engine that we seldom hear anyway.
-        engine.failures.add(attempt.ended || engine.failures.weight(now) >= ENOUGH ? 1 : SILENCE, now);
-        if (attempt.read) drop(attempt.request, engine);
-        double weight = engine.failures.weight(now);
-        double rate = engine.failures.mean() * weight / (weight + 1);
-        if (rate > FAIL_LIMIT && !(rate <= OUTLIER * usual(engine).failures)) eject(engine, "failing");
+    /** Counts a failed or an overdue attempt. */
+    private void recordFailure(Engine engine, Attempt attempt) {
+        // Silence is weaker evidence against an engine with few samples.
+        engine.failureRate.add(attempt.ended || engine.failureRate.weight(nowMs) >= MIN_SAMPLES ? 1
+                : OVERDUE_FAILURE_WEIGHT, nowMs);
+        if (attempt.isRead) dropLocality(attempt.request, engine);
+        double weight = engine.failureRate.weight(nowMs);
+        double rate = engine.failureRate.mean() * weight / (weight + 1);
+        if (rate > MAX_FAILURE_RATE && !(rate <= OUTLIER_RATIO * roleStats(engine).failureRate))
+            eject(engine, "failing");
     }
 
-    private void eject(Engine engine, String why) {
-        if (engine.breaker.isOpen(now) || !engine.ready) return;
+    private void eject(Engine engine, String reason) {
+        if (engine.breaker.isOpen(nowMs) || !engine.ready) return;
         List<Engine> peers = peers(engine);
         long ejected = peers.stream().filter(e -> e.breaker.isTripped() || e == engine).count();
-        if (ejected > EJECT_SHARE * peers.size()) return;
-        engine.breaker.open(1 / usual(engine).fairRate, now);
-        engine.pace.reweigh(1);
-        engine.failures.reweigh(0);
-        actions.add(new Log("ejected " + Long.toHexString(engine.id) + ": " + why));
+        if (ejected > MAX_EJECTED_SHARE * peers.size()) return;
+        engine.breaker.open(1 / roleStats(engine).answersPerMs, nowMs);
+        engine.pace.setWeight(1);
+        engine.failureRate.setWeight(0);
+        actions.add(new Log("ejected " + Long.toHexString(engine.id) + ": " + reason));
     }
 
-    /** Full: not now. Closed: yes. Ejected: no. Half-open: as many out as its good trials allow. */
+    /** Whether an engine was not full lately and its circuit breaker lets another attempt through. */
     private boolean admits(Engine engine) {
-        return now >= engine.fullUntil && engine.breaker.admits(engine.out.size(), now);
+        return nowMs >= engine.fullUntilMs && engine.breaker.admits(engine.inFlight.size(), nowMs);
     }
 
     // ---- Guards: every send passes here ----
 
-    /** Engines of a role that may be sent to: healthy ones that did not fail the request, if any. */
-    private List<Engine> able(Request request, Engine not, Predicate<Engine> role) {
-        List<Engine> able = engines.values().stream().filter(repeatAllowed(request))
-                .filter(e -> e.ready && role.test(e) && coldRoom(request, e)).toList();
-        // Whether an engine that failed last is well again is found out with work that may be repeated.
-        List<Predicate<Engine>> wishes = List.of(e -> e != not, this::admits,
+    /**
+     * The engines of a role to which a request may be sent. Each preference below narrows the list unless
+     * nothing would be left.
+     */
+    private List<Engine> eligible(Request request, Engine excluded, Predicate<Engine> role) {
+        List<Engine> eligible = engines.values().stream().filter(repeatAllowed(request))
+                .filter(e -> e.ready && role.test(e) && admitsWhileCold(request, e)).toList();
+        // Whether an engine that failed last has recovered is tested with work that may be repeated.
+        List<Predicate<Engine>> preferences = List.of(e -> e != excluded, this::admits,
                 e -> request.attempts.stream().noneMatch(a -> a.engine == e && a.silent),
                 e -> request.attempts.stream().noneMatch(a -> a.engine == e && a.failed),
                 e -> request.attempts.stream()
                         .noneMatch(a -> (a.unreachable || a.silent) && sameZone(a.engine, e)),
-                e -> request.kind.repeat() != Repeat.UNSAFE || e.role == Role.READ || !e.failedLast);
-        for (Predicate<Engine> wish : wishes) {
-            List<Engine> kept = able.stream().filter(wish).toList();
-            if (!kept.isEmpty()) able = kept;
+                e -> request.requestClass.repeat() != Repeat.UNSAFE || e.role == Role.READ || !e.failedLast);
+        for (Predicate<Engine> preference : preferences) {
+            List<Engine> preferred = eligible.stream().filter(preference).toList();
+            if (!preferred.isEmpty()) eligible = preferred;
         }
-        return able;
+        return eligible;
     }
 
     private static boolean sameZone(Engine one, Engine other) {
         return one.member.zone() == other.member.zone();
     }
 
-    private boolean send(Request request, Engine engine, boolean read, double uncached, double matched) {
-        if (ProtocolRules.checkAttempt(request.state(), settings.limits()) != Reason.ALLOWED) {
+    /** Sends an attempt and sets its timers; if none may be made any more, ends the request. */
+    private boolean send(Request request, Engine engine, boolean isRead, double uncachedTokens,
+            double matchedTokens) {
+        if (ProtocolRules.checkAttempt(request.toRequestState(), settings.limits()) != Reason.ALLOWED) {
             giveUp(request, EndReason.ATTEMPTS_SPENT);
             return false;
         }
-        // A repeat may wait for a connection, and is then withdrawn at the end of its window.
-        double startByMs = repeatUntilMs(request);
-        if (cold(engine)) engine.coldBucket -= 1;
-        Attempt attempt = new Attempt(request, engine, read, now);
-        attempt.cost = read ? engine.queued + uncached + READ_OVERHEAD : 1;
-        attempt.uncached = uncached;
-        attempt.matched = matched;
+        // A repeat may have to wait for a connection. It is withdrawn if its window ends meanwhile.
+        double startByMs = latestRepeatMs(request);
+        if (isCold(engine)) engine.coldBucket -= 1;
+        Attempt attempt = new Attempt(request, engine, isRead, nowMs);
+        attempt.cost = isRead ? engine.queuedTokens + uncachedTokens + READ_OVERHEAD_TOKENS : 1;
+        attempt.uncachedTokens = uncachedTokens;
+        attempt.matchedTokens = matchedTokens;
         request.attempts.add(attempt);
-        request.out++;
-        engine.out.add(attempt);
-        engine.queued += uncached;
-        if (!read) engine.projected += request.asked.promptTokens() + request.expectedOutput;
-        actions.add(new Send(request.asked.id(), engine.id, request.deadlineMs, startByMs));
-        setTimer(request.asked.id(), attempt.number, TimerKind.OVERDUE, now + patience(attempt));
-        if (mayLoseItsState(request, engine))
-            setTimer(request.asked.id(), attempt.number, TimerKind.DOUBT, attempt.doubtedMs());
-        boolean ends = startByMs < request.deadlineMs;
-        if (read && ends) setTimer(request.asked.id(), 0, TimerKind.WINDOW, startByMs);
-        if (!read && request.holder != null)
-            setTimer(request.asked.id(), attempt.number, TimerKind.LEASE, doubtMs(request, engine));
+        request.inFlight++;
+        engine.inFlight.add(attempt);
+        engine.queuedTokens += uncachedTokens;
+        if (!isRead) engine.projectedTokens += request.arrival.promptTokens() + request.expectedOutputTokens;
+        actions.add(new Send(request.arrival.id(), engine.id, request.deadlineMs, startByMs));
+        setTimer(request.arrival.id(), attempt.number, TimerKind.OVERDUE, nowMs + overdueAfterMs(attempt));
+        if (needsLostReadCheck(request, engine))
+            setTimer(request.arrival.id(), attempt.number, TimerKind.LOST_READ, attempt.presumedLostMs());
+        boolean windowEnds = startByMs < request.deadlineMs;
+        if (isRead && windowEnds) setTimer(request.arrival.id(), 0, TimerKind.REPEAT_WINDOW, startByMs);
+        if (!isRead && request.holder != null)
+            setTimer(request.arrival.id(), attempt.number, TimerKind.LEASE, reclaimAtMs(request, engine));
         return true;
     }
 
-    /** Keyed work that may have run goes only where its repeats are dropped; unsafe work nowhere. */
+    /**
+     * Guards against duplicated effects: keyed work that may have run goes only to engines that drop its
+     * repeats, unsafe work to none.
+     */
     private Predicate<Engine> repeatAllowed(Request request) {
         if (request.attempts.isEmpty()) return engine -> true;
-        RequestState state = request.state();
-        return engine -> ProtocolRules.checkRepeat(state, engine.target(), margin(), now) == Reason.ALLOWED;
+        RequestState state = request.toRequestState();
+        return engine -> ProtocolRules.checkRepeat(state, engine.target(), marginMs(),
+                nowMs) == Reason.ALLOWED;
     }
 
-    /** Whether another writer in service may be sent what one has, or may have, begun. */
-    private boolean mayFollow(Request request, Engine writer) {
-        return request.kind.repeat() == Repeat.PURE || engines.values().stream()
+    /** Whether another engine in service could be sent the work that a writer has begun or may have begun. */
+    private boolean hasAlternativeWriter(Request request, Engine writer) {
+        return request.requestClass.repeat() == Repeat.PURE || engines.values().stream()
                 .filter(repeatAllowed(request)).anyMatch(e -> e != writer && e.ready && e.role != Role.READ);
     }
 
-    /** Whether a writer, and a reader if it needs one, are in service to which what may have run may go. */
-    private boolean groupServes(Request request) {
-        if (repeatUntilMs(request) == Double.POSITIVE_INFINITY) return true;
-        List<Engine> group = engines.values().stream()
+    /** Whether a writer, and a reader if one is needed, is in service to which the request may be sent. */
+    private boolean canContinue(Request request) {
+        if (latestRepeatMs(request) == Double.POSITIVE_INFINITY) return true;
+        List<Engine> allowed = engines.values().stream()
                 .filter(repeatAllowed(request)).filter(e -> e.ready).toList();
-        return group.stream().anyMatch(e -> e.role != Role.READ)
-                && (request.holder != null || group.stream().anyMatch(this::reads));
+        return allowed.stream().anyMatch(e -> e.role != Role.READ)
+                && (request.holder != null || allowed.stream().anyMatch(this::canRead));
     }
 
-    /** Until when an attempt may begin, by what may have run already. */
-    private double repeatUntilMs(Request request) {
-        return ProtocolRules.repeatUntilMs(request.state(), margin());
+    /** Until when an attempt may begin, given the attempts that may have run. */
+    private double latestRepeatMs(Request request) {
+        return ProtocolRules.latestRepeatMs(request.toRequestState(), marginMs());
     }
 
-    private boolean cold(Engine engine) {
-        return engineClock.cold(engine.startedMs, now);
+    private boolean isCold(Engine engine) {
+        return engineClock.isCold(engine.startedMs, nowMs);
     }
 
     /**
-     * Slow start: the part of requests that may go to a cold engine follows its present capacity, and is
-     * larger where most of a role was replaced, up to what the rules let it bear. As the least queued it
-     * would get all of a small fleet's, so the sends to it are limited by the answers seen, too.
+     * Slow start: the share of requests that may go to a cold engine follows its current capacity. It is
+     * larger where most of a role was replaced, up to the limit of the rules. As the least queued engine, a
+     * cold one would get all requests of a small fleet, so a token bucket filled at the rate of answers
+     * limits the sends too.
      */
-    private boolean coldRoom(Request request, Engine engine) {
-        if (!cold(engine)) return true;
-        double fair = Math.max(1.0 / (1000 * settings.nodeCount()), usual(engine).fairRate);
-        double share = usual(engine).coldShare * presentCapacity(engine);
-        engine.coldBucket = Math.min(1, engine.coldBucket + (now - engine.coldAt) * fair * share);
-        engine.coldAt = now;
-        return request.draw < share && engine.coldBucket >= 0;
+    private boolean admitsWhileCold(Request request, Engine engine) {
+        if (!isCold(engine)) return true;
+        double answersPerMs = Math.max(1.0 / (1000 * settings.nodeCount()), roleStats(engine).answersPerMs);
+        double share = roleStats(engine).coldShare * currentCapacity(engine);
+        engine.coldBucket = Math.min(1,
+                engine.coldBucket + (nowMs - engine.coldBucketFilledMs) * answersPerMs * share);
+        engine.coldBucketFilledMs = nowMs;
+        return request.coldDraw < share && engine.coldBucket >= 0;
     }
 
-    private double presentCapacity(Engine engine) {
-        return engineClock.presentCapacity(engine.startedMs, now);
+    private double currentCapacity(Engine engine) {
+        return engineClock.currentCapacity(engine.startedMs, nowMs);
     }
 
-    /** How long an attempt may be out: some times what its peers take, or what its own engine took lately. */
-    private double patience(Attempt attempt) {
-        // A request that was moved on is moved again only after longer.
-        double least = OVERDUE_SHARE * attempt.request.kind.aimMs();
-        return Math.max(least, expectedPatience(attempt)) * (1 << attempt.number / 2);
+    /** Time after which an attempt is overdue. */
+    private double overdueAfterMs(Attempt attempt) {
+        // Doubles with every second attempt, so that a request that was moved is not moved again as soon.
+        double minMs = OVERDUE_GOAL_SHARE * attempt.request.requestClass.firstTokenGoalMs();
+        return Math.max(minMs, expectedOverdueMs(attempt)) * (1 << attempt.number / 2);
     }
 
-    private double expectedPatience(Attempt attempt) {
-        double pace = usual(attempt.engine).pace;
-        double expected = Math.max(Double.isNaN(pace) ? 0 : pace * attempt.cost, seenMs(attempt.engine));
-        // What we only assume to be kept there may have to be read.
-        boolean assumed = pace > 0 && attempt.request.homes.contains(attempt.engine);
-        double whole = assumed ? pace * attempt.request.asked.promptTokens() : 0;
-        return OVERDUE * Math.max(expected, whole / 2);
+    /** A multiple of the time that an attempt takes at its peers, or took lately at its own engine. */
+    private double expectedOverdueMs(Attempt attempt) {
+        double pace = roleStats(attempt.engine).pace;
+        double expectedMs = Math.max(Double.isNaN(pace) ? 0 : pace * attempt.cost,
+                recentWaitMs(attempt.engine));
+        // Tokens that are only assumed to be cached may have to be read.
+        boolean assumed = pace > 0 && attempt.request.assumedHolders.contains(attempt.engine);
+        double wholeMs = assumed ? pace * attempt.request.arrival.promptTokens() : 0;
+        return OVERDUE_FACTOR * Math.max(expectedMs, wholeMs / 2);
     }
 
-    /** Silence, or a known outlier: an attempt is out far longer than peers take. Try elsewhere. */
-    private void overdue(Request request, int number) {
+    /** Sends an attempt elsewhere that has been in flight far longer than its peers take. */
+    private void onOverdue(Request request, int number) {
         Attempt attempt = number < request.attempts.size() ? request.attempts.get(number) : null;
-        boolean over = request.phase == Phase.DONE || request.phase == Phase.STREAMING;
-        if (over || attempt == null || attempt.ended || attempt.cancelled
+        boolean answered = request.phase == Phase.DONE || request.phase == Phase.STREAMING;
+        if (answered || attempt == null || attempt.ended || attempt.cancelled
                 || request.attempts.size() >= settings.limits().maxAttempts() - 1) {
             return;
         }
-        boolean silent = attempt.engine.heardMs < attempt.sentMs;
-        // A full writer's queue is quiet too: only silence as long as an aim counts against the engine.
-        boolean mute = silent && now - attempt.engine.heardMs > request.kind.aimMs();
-        boolean unsafe = request.kind.repeat() == Repeat.UNSAFE;
-        double againMs = now + OVERDUE_SHARE * request.kind.aimMs();
-        // What may have begun to answer and can't be repeated is waited for: called off, it is lost for sure.
-        if (attempt.prior().mayHaveRun() && !mayFollow(request, attempt.engine)) {
-            if (mute) bad(attempt.engine, attempt);
-            else setTimer(request.asked.id(), number, TimerKind.OVERDUE, againMs);
+        boolean silent = attempt.engine.lastSuccessMs < attempt.sentMs;
+        // A full writer's queue is silent too: only silence as long as a goal counts against the engine.
+        boolean unresponsive = silent
+                && nowMs - attempt.engine.lastSuccessMs > request.requestClass.firstTokenGoalMs();
+        boolean unsafe = request.requestClass.repeat() == Repeat.UNSAFE;
+        double nextCheckMs = nowMs + OVERDUE_GOAL_SHARE * request.requestClass.firstTokenGoalMs();
+        // An attempt that may have run and cannot be repeated is left in flight: cancelled, it would be lost.
+        if (attempt.toPriorAttempt().mayHaveRun() && !hasAlternativeWriter(request, attempt.engine)) {
+            if (unresponsive) recordFailure(attempt.engine, attempt);
+            else setTimer(request.arrival.id(), number, TimerKind.OVERDUE, nextCheckMs);
             return;
         }
-        // Retries are rationed against storms, and where the whole role is behind, a copy only adds to it.
-        // Either may have changed a little later. An answer that is lost comes from no lack of capacity.
+        // Guards against retry storms: retries are limited, and where the whole role is behind, a copy adds
+        // to the load. Both may change soon, so the attempt is checked again. A lost answer is not caused by
+        // a lack of capacity.
         boolean lost = attempt.overtaken();
-        boolean behind = pooled(attempt.read ? reads : firstTokens) > BEHIND * request.kind.aimMs();
-        if (!lost && (!retries.allowsRetry() || behind && unmet(attempt.engine))) {
-            setTimer(request.asked.id(), number, TimerKind.OVERDUE, againMs);
+        boolean behind = pooledWaitMs(attempt.isRead ? readWaits : firstTokenWaits) > BEHIND_GOAL_SHARE
+                * request.requestClass.firstTokenGoalMs();
+        if (!lost && (!retryBudget.allowsRetry() || behind && isRarelyUsed(attempt.engine))) {
+            setTimer(request.arrival.id(), number, TimerKind.OVERDUE, nextCheckMs);
             return;
         }
-        if (!silent && !lost && !attempt.excused && relativePace(attempt.engine) < OUTLIER) {
-            // Others were answered: a queue, or an answer that was lost. The second time it counts as lost.
+        if (!silent && !lost && !attempt.excused && relativePace(attempt.engine) < OUTLIER_RATIO) {
+            // The engine answered others: a queue or a lost answer. The second time it counts as lost.
             attempt.excused = true;
-            setTimer(request.asked.id(), number, TimerKind.OVERDUE, 2 * now - attempt.sentMs);
+            setTimer(request.arrival.id(), number, TimerKind.OVERDUE, 2 * nowMs - attempt.sentMs);
             return;
         }
-        if (mute) bad(attempt.engine, attempt);
-        retries.spend();
-        // Guards against a second send of unsafe work while the first is out, a read's included: call it off.
-        if (attempt.read && settings.limits().secondCopies() && !unsafe) read(request, attempt.engine);
+        if (unresponsive) recordFailure(attempt.engine, attempt);
+        retryBudget.spend();
+        // Guards against a second send of unsafe work, reads included, while the first is in flight.
+        if (attempt.isRead && settings.limits().secondCopies() && !unsafe) sendRead(request, attempt.engine);
         else cancel(attempt);
     }
 
-    /** Whether a read has to be doubted in time; where copies are allowed, overdue sends one. */
-    private boolean mayLoseItsState(Request request, Engine engine) {
-        boolean copied = settings.limits().secondCopies() && request.kind.repeat() != Repeat.UNSAFE;
+    /** Whether a read has to be checked for a lost answer. Where copies are allowed, onOverdue sends one. */
+    private boolean needsLostReadCheck(Request request, Engine engine) {
+        boolean copied = settings.limits().secondCopies() && request.requestClass.repeat() != Repeat.UNSAFE;
         return engine.role == Role.READ && !copied;
     }
 
     /**
-     * A read may have ended with an answer that was lost, and its state has been held since: it is called off
-     * in time for a release. Not while reads wait everywhere, nor at a reader that we hardly know: then it is
-     * no sign of a loss that one does. The budget of retries may be overdrawn for it.
+     * Cancels a read that may have ended with an answer that was lost, in time for a release of the state
+     * that its reader would then hold. Not while reads wait everywhere, nor at a reader with few answers:
+     * there, a long wait is no sign of a loss. The retry budget may be overdrawn for it.
      */
-    private void doubtRead(Request request, int number) {
+    private void checkLostRead(Request request, int number) {
         Attempt read = number < request.attempts.size() ? request.attempts.get(number) : null;
         if (request.phase != Phase.READING || read == null || read.ended || read.cancelled) return;
-        double dueMs = read.doubtedMs();
-        boolean known = familiar(read.engine);
-        if (!known && now > dueMs + settings.rules().pinLimitMs()) return;
-        boolean queue = !known || cold(read.engine) || now - shutToldMs < WAIT_MS
-                || pooled(reads) > BEHIND * request.kind.aimMs();
-        if (now < dueMs || queue || !retries.allowsOverdraft()) {
-            double waitMs = now < dueMs ? Math.min(dueMs - now, DOUBT_AGAIN_MS) : DOUBT_AGAIN_MS;
-            setTimer(request.asked.id(), number, TimerKind.DOUBT, now + waitMs);
+        double dueMs = read.presumedLostMs();
+        boolean wellObserved = isWellObserved(read.engine);
+        if (!wellObserved && nowMs > dueMs + settings.rules().pinLimitMs()) return;
+        boolean likelyQueued = !wellObserved || isCold(read.engine)
+                || nowMs - admissionLoggedMs < WAIT_FADE_MS
+                || pooledWaitMs(readWaits) > BEHIND_GOAL_SHARE * request.requestClass.firstTokenGoalMs();
+        if (nowMs < dueMs || likelyQueued || !retryBudget.allowsOverdraft()) {
+            double delayMs = nowMs < dueMs ? Math.min(dueMs - nowMs, LOST_READ_CHECK_MS) : LOST_READ_CHECK_MS;
+            setTimer(request.arrival.id(), number, TimerKind.LOST_READ, nowMs + delayMs);
             return;
         }
-        retries.overdraw();
+        retryBudget.overdraw();
         if (request.attempts.size() < settings.limits().maxAttempts() - 1) cancel(read);
         else giveUp(request, EndReason.READ_UNANSWERED);
     }
@@ -839,179 +1020,195 @@
     private void cancel(Attempt attempt) {
         if (!attempt.ended && !attempt.cancelled && settings.limits().cancel()) {
             attempt.cancelled = true;
-            actions.add(new Cancel(attempt.request.asked.id(), attempt.number));
+            actions.add(new Cancel(attempt.request.arrival.id(), attempt.number));
         }
     }
 
     private void onFailure(Request request, Attempt attempt, Outcome outcome) {
-        if (request.phase == Phase.STREAMING || request.out > 0) return;
-        keepIfWaitedFor(request, attempt, outcome);
-        // The reader that held it has died or is cut off from the writer, perhaps from here too.
-        Engine not = outcome == Outcome.STATE_GONE ? request.holder : attempt.engine;
+        if (request.phase == Phase.STREAMING || request.inFlight > 0) return;
+        restoreReclaimedState(request, attempt, outcome);
+        // The reader of a missing state has died or is cut off from the writer, perhaps from this node too.
+        Engine excluded = outcome == Outcome.STATE_GONE ? request.holder : attempt.engine;
         if (outcome == Outcome.STATE_GONE) request.holder = null;
-        boolean spent = request.attempts.size() >= settings.limits().maxAttempts();
-        // What may have been done can be neither repeated nor taken elsewhere: no use in holding its state.
-        if (now >= repeatUntilMs(request)) giveUp(request, EndReason.MAY_HAVE_RUN);
-        else if (spent) giveUp(request, EndReason.ATTEMPTS_SPENT);
-        else if (lastMoment(request) <= now) giveUp(request, EndReason.DEADLINE);
-        else if (!groupServes(request)) giveUp(request, EndReason.MAY_HAVE_RUN);
-        else if (request.holder == null) readAnew(request, not);
-        else if (now >= leaseEndMs(request)) readAnew(request, null);
-        else write(request, attempt.engine);
-    }
-
-    /** What a running writer waited for was not let go when it was reclaimed: its time begins anew. */
-    private void keepIfWaitedFor(Request request, Attempt write, Outcome outcome) {
-        boolean ran = StateLease.isAnswer(outcome) || write.engine.heardMs > write.sentMs;
-        if (request.doubted != null && ran && outcome != Outcome.STATE_GONE) {
-            request.holder = request.doubted;
-            hold(request);
+        boolean attemptsSpent = request.attempts.size() >= settings.limits().maxAttempts();
+        // Work that may have run and can be neither repeated nor sent elsewhere needs its state no longer.
+        if (nowMs >= latestRepeatMs(request)) giveUp(request, EndReason.MAY_HAVE_RUN);
+        else if (attemptsSpent) giveUp(request, EndReason.ATTEMPTS_SPENT);
+        else if (answerByMs(request) <= nowMs) giveUp(request, EndReason.DEADLINE);
+        else if (!canContinue(request)) giveUp(request, EndReason.MAY_HAVE_RUN);
+        else if (request.holder == null) readAgain(request, excluded);
+        else if (nowMs >= leaseEndMs(request)) readAgain(request, null);
+        else sendWrite(request, attempt.engine);
+    }
+
+    /**
+     * A reader does not drop a reclaimed state for which a running writer still waits. If the writer ran, the
+     * state is thus still held when the write ends, and its lease starts again.
+     */
+    private void restoreReclaimedState(Request request, Attempt write, Outcome outcome) {
+        boolean ran = StateLease.isEngineAnswer(outcome) || write.engine.lastSuccessMs > write.sentMs;
+        if (request.reclaimedHolder != null && ran && outcome != Outcome.STATE_GONE) {
+            request.holder = request.reclaimedHolder;
+            startLease(request);
         }
-        request.doubted = null;
+        request.reclaimedHolder = null;
     }
 
     /**
-     * A writer could not get the state, though its reader may hold it still, or silent writers used up its
-     * time: let it go. Its reader keeps the prompt's tokens.
+     * Releases the state and reads the prompt again: a writer could not fetch the state, though its reader
+     * may still hold it, or silent writers used up its lease. The reader keeps the prompt's tokens cached.
      */
-    private void readAnew(Request request, Engine not) {
-        if (request.held) actions.add(new Release(request.asked.id()));
+    private void readAgain(Request request, Engine excluded) {
+        if (request.held) actions.add(new Release(request.arrival.id()));
         request.held = false;
         request.holder = null;
-        read(request, not);
+        sendRead(request, excluded);
     }
 
-    /** No engine can be sent to now: look again soon, within what the pin rule allows. */
-    private void wait(Request request) {
+    /** No engine can be sent to now: schedules another choice, and the end of the lease on a held state. */
+    private void scheduleReselect(Request request) {
         int attempts = request.attempts.size();
-        if (request.held) setTimer(request.asked.id(), attempts, TimerKind.LEASE, leaseEndMs(request));
-        setTimer(request.asked.id(), 0, TimerKind.RESELECT, now + RESELECT_MS);
+        if (request.held) setTimer(request.arrival.id(), attempts, TimerKind.LEASE, leaseEndMs(request));
+        setTimer(request.arrival.id(), 0, TimerKind.RESELECT, nowMs + RESELECT_INTERVAL_MS);
     }
 
     private void reselect(Request request) {
-        if (request.out > 0) return;
-        if (now > request.aimMs || !groupServes(request)) giveUp(request, EndReason.NO_ENGINE);
-        if (request.phase == Phase.HOLDING) write(request, null);
-        if (request.phase == Phase.READING) read(request, null);
-    }
-
-    /** The time of a state is over or nearly so: it waits, or the write that was sent for it is silent. */
-    private void leaseEnds(Request request, int number) {
-        boolean over = request.phase == Phase.DONE || request.phase == Phase.STREAMING;
-        if (over || !request.held || request.holder == null) return;
-        if (request.out == 0) {
-            if (now >= leaseEndMs(request)) giveUp(request, EndReason.STATE_HELD_TOO_LONG);
+        if (request.inFlight > 0) return;
+        if (nowMs > request.goalAtMs || !canContinue(request)) giveUp(request, EndReason.NO_ENGINE);
+        if (request.phase == Phase.HOLDING) sendWrite(request, null);
+        if (request.phase == Phase.READING) sendRead(request, null);
+    }
+
+    /** The lease of a state is about to end while the state waits for a writer or its write is silent. */
+    private void onLeaseEnd(Request request, int number) {
+        boolean answered = request.phase == Phase.DONE || request.phase == Phase.STREAMING;
+        if (answered || !request.held || request.holder == null) return;
+        if (request.inFlight == 0) {
+            if (nowMs >= leaseEndMs(request)) giveUp(request, EndReason.STATE_HELD_TOO_LONG);
             return;
         }
         Attempt write = number < request.attempts.size() ? request.attempts.get(number) : null;
-        if (write == null || write.ended || write.cancelled || write.read) return;
-        actions.add(new Reclaim(request.asked.id()));
-        request.doubted = request.holder;
+        if (write == null || write.ended || write.cancelled || write.isRead) return;
+        actions.add(new Reclaim(request.arrival.id()));
+        request.reclaimedHolder = request.holder;
         request.holder = null;
     }
 
     /**
-     * Until when a silent write has its state held for it. One that may be repeated may be called off before,
-     * as overdue, and its state goes to another writer; for unsafe work nothing is left to be done with it.
+     * Until when a state is held for a silent write. A write that may be repeated may be cancelled earlier as
+     * overdue, and its state then goes to another writer. For unsafe work nothing can follow, so the state is
+     * reclaimed earlier.
      */
-    private double doubtMs(Request request, Engine writer) {
-        if (request.kind.repeat() != Repeat.UNSAFE) return leaseEndMs(request);
-        return request.lease.doubtMs(now, usual(writer).waitMs, margin());
+    private double reclaimAtMs(Request request, Engine writer) {
+        if (request.requestClass.repeat() != Repeat.UNSAFE) return leaseEndMs(request);
+        return request.lease.reclaimAtMs(nowMs, roleStats(writer).latencyMs, marginMs());
     }
 
     private double leaseEndMs(Request request) {
-        return request.lease.expiresMs() - margin();
+        return request.lease.expiresMs() - marginMs();
     }
 
-    private double margin() {
+    private double marginMs() {
         return MARGIN_TICKS * settings.tickMs() + MARGIN_MS;
     }
 
-    private double lastMoment(Request request) {
-        return request.deadlineMs - margin();
+    /** The latest time at which the request can be answered before its deadline. */
+    private double answerByMs(Request request) {
+        return request.deadlineMs - marginMs();
     }
 
-    // ---- Admission: load shedding by worth ----
+    // ---- Admission: load shedding by priority ----
 
     /**
-     * Work gives way when its first token is expected near its own aim, or near that of work worth more.
-     * Guards against every lasting lack of capacity; could harm where a short burst would have passed.
+     * Whether a request's first token is expected near the goal of its class or of a class with higher
+     * priority. Guards against a lasting lack of capacity; could harm where a short burst would have passed.
      */
-    private boolean overloaded(Request request) {
+    private boolean isOverloaded(Request request) {
         Engine reader = chooseReader(request, null);
         if (reader == null) return false;
-        double[] waits = able(request, null, e -> e.role != Role.READ).stream().mapToDouble(this::lately)
-                .sorted().toArray();
-        double median = waits.length == 0 ? 0 : waits[(waits.length - 1) / 2];
-        double own = Math.max(readMs(reader, reader.queued), oldestMs(reader));
-        double all = unmet(reader) ? pooled(reads) : 0;
-        double queue = Math.max(own, all) + Math.max(median, pooled(firstTokens));
-        double limit = Math.min(request.aimMs, lastMoment(request)) - now;
-        // A long prompt takes its time without a queue: what it needs itself is no overload.
-        double whole = queue + (calmPace < Bounds.MOST ? calmPace * needed(request, reader) : 0);
-        boolean shut = queue > QUEUED * limit && whole > ADMIT * limit;
+        double[] waitsMs = eligible(request, null, e -> e.role != Role.READ).stream()
+                .mapToDouble(this::fadingWaitMs).sorted().toArray();
+        double medianMs = waitsMs.length == 0 ? 0 : waitsMs[(waitsMs.length - 1) / 2];
+        double readerMs = Math.max(readMs(reader, reader.queuedTokens), oldestWaitMs(reader));
+        double allReadersMs = isRarelyUsed(reader) ? pooledWaitMs(readWaits) : 0;
+        double queueMs = Math.max(readerMs, allReadersMs) + Math.max(medianMs, pooledWaitMs(firstTokenWaits));
+        double limitMs = Math.min(request.goalAtMs, answerByMs(request)) - nowMs;
+        // A long prompt takes long without a queue: the time that its own read needs is no overload.
+        double wholeMs = queueMs
+                + (unqueuedPace < Bounds.MAX ? unqueuedPace * neededTokens(request, reader) : 0);
+        boolean shut = queueMs > ADMISSION_QUEUE_SHARE * limitMs && wholeMs > ADMISSION_GOAL_SHARE * limitMs;
         for (RequestClass other : settings.classes()) {
-            if (other.priority() > request.worth) limit = Math.min(limit, other.aimMs());
+            if (other.priority() > request.priority) limitMs = Math.min(limitMs, other.firstTokenGoalMs());
         }
-        shut |= queue > ADMIT * limit;
-        if (shut && now - shutToldMs >= SHUT_LOG_MS) {
-            shutToldMs = now;
+        shut |= queueMs > ADMISSION_GOAL_SHARE * limitMs;
+        if (shut && nowMs - admissionLoggedMs >= ADMISSION_LOG_INTERVAL_MS) {
+            admissionLoggedMs = nowMs;
             actions.add(new Log(String.format(Locale.ROOT, "admission shut: reader %x %.0f ms (oldest %.0f), "
-                    + "all readers %.0f, writers' median %.0f, first tokens %.0f, of %.0f", reader.id, own,
-                    oldestMs(reader), all, median, pooled(firstTokens), limit)));
+                    + "all readers %.0f, writers' median %.0f, first tokens %.0f, of %.0f", reader.id,
+                    readerMs, oldestWaitMs(reader), allReadersMs, medianMs, pooledWaitMs(firstTokenWaits),
+                    limitMs)));
         }
         return shut;
     }
 
-    /** An engine that we meet so seldom that its own waits say little: then those of its role stand in. */
-    private boolean unmet(Engine engine) {
-        return usual(engine).fairRate * WAIT_MS < 1;
+    /** Whether this node uses an engine too rarely to rely on its waits: those of its role replace them. */
+    private boolean isRarelyUsed(Engine engine) {
+        return roleStats(engine).answersPerMs * WAIT_FADE_MS < 1;
     }
 
-    /** Whether we hear of an engine often enough to tell a loss from a queue. */
-    private boolean familiar(Engine engine) {
-        return usual(engine).fairRate * RATE_MS >= ENOUGH;
+    /** Whether an engine answers this node often enough to tell a lost answer from a queue. */
+    private boolean isWellObserved(Engine engine) {
+        return roleStats(engine).answersPerMs * RATE_FADE_MS >= MIN_SAMPLES;
     }
 
-    private double pooled(RecentMean waits) {
-        return waits.faded(POOL_MS, now);
+    private double pooledWaitMs(RecentMean waits) {
+        return waits.decayed(POOLED_WAIT_FADE_MS, nowMs);
     }
 
-    /** What an engine makes us wait: its recent times, or the age of what still waits there. */
+    /** The wait to expect at an engine: its recent latency, or the age of the oldest attempt there. */
     private double waitMs(Engine engine) {
-        return Math.max(oldestMs(engine), seenMs(engine));
+        return Math.max(oldestWaitMs(engine), recentWaitMs(engine));
     }
 
-    /** Its recent times alone: an engine that is silent must not excuse its silence by its oldest attempt. */
-    private double seenMs(Engine engine) {
-        double usual = usual(engine).waitMs > 0 ? usual(engine).waitMs : 0;
-        // Remembered for longer than the gap between two samples, however many engines share our work.
-        double fadeMs = Math.max(WAIT_MS, Math.min(MEMORY_MS, 1 / usual(engine).fairRate));
-        double excess = usual * (relative(engine.typicalMs, usual) - 1);
-        return usual + excess * Math.exp((engine.heardMs - now) / fadeMs);
+    /** An engine's recent latency alone: the age of a silent engine's attempt must not excuse its silence. */
+    private double recentWaitMs(Engine engine) {
+        double usualMs = roleStats(engine).latencyMs > 0 ? roleStats(engine).latencyMs : 0;
+        // Remembered for longer than the gap between two samples, however many engines share the work.
+        double fadeMs = Math.max(WAIT_FADE_MS, Math.min(SAMPLE_FADE_MS, 1 / roleStats(engine).answersPerMs));
+        double excessMs = usualMs * (relative(engine.latencyMs, usualMs) - 1);
+        return usualMs + excessMs * Math.exp((engine.lastSuccessMs - nowMs) / fadeMs);
     }
 
-    /** A jam is believed no longer than it is seen: admission, once shut, would get no news to open on. */
-    private double lately(Engine engine) {
-        return Math.max(oldestMs(engine), waitMs(engine) * Math.exp((engine.heardMs - now) / POOL_MS));
+    /**
+     * An engine's wait, faded since its last success. Guards against admission that stays closed after a jam:
+     * once closed, it would get no new samples.
+     */
+    private double fadingWaitMs(Engine engine) {
+        return Math.max(oldestWaitMs(engine),
+                waitMs(engine) * Math.exp((engine.lastSuccessMs - nowMs) / POOLED_WAIT_FADE_MS));
     }
 
-    /** Guards against a lost answer that would pass for a queue and shut admission for a deadline. */
-    private double oldestMs(Engine engine) {
-        return engine.out.stream().filter(a -> !a.begun && !a.cancelled && !a.overtaken()).findFirst()
-                .map(a -> now - a.sentMs).orElse(0.0);
+    /**
+     * Age of the oldest attempt that waits at an engine. Overtaken attempts are left out: a lost answer would
+     * look like a queue and close admission until the deadline.
+     */
+    private double oldestWaitMs(Engine engine) {
+        return engine.inFlight.stream().filter(a -> !a.streaming && !a.cancelled && !a.overtaken())
+                .findFirst().map(a -> nowMs - a.sentMs).orElse(0.0);
     }
 
-    /** Ends a request unserved, at once; refused if a retry is harmless, to come when waits have faded. */
-    private void giveUp(Request request, EndReason why) {
+    /** Ends a request at once, unserved: a refusal if a retry is harmless, else a failure. */
+    private void giveUp(Request request, EndReason reason) {
         if (request.phase == Phase.DONE || request.phase == Phase.STREAMING) return;
-        boolean harmless = ProtocolRules.checkRefusal(request.state(), margin(), now) == Reason.ALLOWED;
-        double leftMs = repeatUntilMs(request) - now;
-        // A repeat inside its window does no harm: the client must be able to come back before its end.
-        double most = Math.min(settings.limits().maxRetryAfterMs(), leftMs / 2);
-        double later = settings.limits().retryAfter() ? Math.min(most, WAIT_MS) : 0;
-        long id = request.asked.id();
-        actions.add(harmless ? new Refuse(id, later, why) : new Fail(id, why));
+        boolean harmless = ProtocolRules.checkRefusal(request.toRequestState(), marginMs(),
+                nowMs) == Reason.ALLOWED;
+        double windowLeftMs = latestRepeatMs(request) - nowMs;
+        // A repeat is harmless only inside its window: the client must be able to retry before that ends.
+        double maxRetryAfterMs = Math.min(settings.limits().maxRetryAfterMs(), windowLeftMs / 2);
+        // By then the waits have faded.
+        double retryAfterMs = settings.limits().retryAfter() ? Math.min(maxRetryAfterMs, WAIT_FADE_MS) : 0;
+        long id = request.arrival.id();
+        actions.add(harmless ? new Refuse(id, retryAfterMs, reason) : new Fail(id, reason));
         request.attempts.forEach(this::cancel);
         close(request);
     }
@@ -1023,32 +1220,37 @@
         }
     }
 
-    /** A release passes over what an attempt still waits for, so each that ends later brings another. */
+    /** A release skips states for which an attempt still waits, so it is repeated when that attempt ends. */
     private void cleanUp(Request request) {
-        if (request.held) actions.add(new Release(request.asked.id()));
-        if (request.out == 0) requests.remove(request.asked.id());
+        if (request.held) actions.add(new Release(request.arrival.id()));
+        if (request.inFlight == 0) requests.remove(request.arrival.id());
     }
 
-    private void account(Attempt attempt, Ended ended) {
+    /** Takes an ended attempt off its engine's load; charges the output if it was served. */
+    private void updateEngineLoad(Attempt attempt, Ended ended) {
         Request request = attempt.request;
         Engine engine = attempt.engine;
-        engine.out.remove(attempt);
-        engine.queued = Math.max(0, engine.queued - attempt.uncached);
-        double tokens = attempt.read ? 0 : request.asked.promptTokens() + request.expectedOutput;
-        engine.projected = Math.max(0, engine.projected - tokens);
+        engine.inFlight.remove(attempt);
+        engine.queuedTokens = Math.max(0, engine.queuedTokens - attempt.uncachedTokens);
+        double tokens = attempt.isRead ? 0 : request.arrival.promptTokens() + request.expectedOutputTokens;
+        engine.projectedTokens = Math.max(0, engine.projectedTokens - tokens);
         if (ended.outcome() != Outcome.SERVED) return;
-        double output = OUTPUT_WEIGHT * request.expectedOutput;
-        request.attempts.stream().filter(a -> a.read).reduce((a, b) -> b)
-                .ifPresent(a -> a.engine.counters.charge(request.client, output));
+        double outputTokens = OUTPUT_TOKEN_WEIGHT * request.expectedOutputTokens;
+        request.attempts.stream().filter(a -> a.isRead).reduce((a, b) -> b)
+                .ifPresent(a -> a.engine.counters.charge(request.client, outputTokens));
     }
 
-    /** Entries in the tables, for watching that they stay bounded. */
-    int held() {
-        return requests.size() + sessions.size() + prefixes.size() + arrivals.size() + engines.size();
+    /** Number of entries in all tables, for tests that check that they stay bounded. */
+    int tableEntries() {
+        return requests.size() + sessionTable.size() + prefixTable.size() + arrivalCounts.size()
+                + engines.size();
     }
 
-    /** The engine of the lowest value; equals by the key's rendezvous hash, so that nodes don't herd. */
-    private static Engine least(Collection<Engine> among, ToDoubleFunction<Engine> by, long key) {
-        return Rendezvous.least(among, by, engine -> engine.id, key);
+    /**
+     * The engine with the lowest value, or null if there is none. The key's rendezvous hash decides between
+     * equals, so that nodes do not all choose the same engine.
+     */
+    private static Engine min(Collection<Engine> candidates, ToDoubleFunction<Engine> value, long key) {
+        return Rendezvous.min(candidates, value, engine -> engine.id, key);
     }
 }
--- a/src/main/java/maplerail/Router.java
+++ b/src/main/java/maplerail/Router.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What a node and its decision module say to each other. The node reports events with the time at
- * which it saw them; the module answers with actions. All times are milliseconds of the node's clock,
- * all lengths are tokens. {@link Logic} is the module.
+ * The interface between a node and its decision module. The node reports events with the time at which it
+ * observed them, and the module returns actions. All times are milliseconds of the node's clock, all lengths
+ * are tokens. {@link Logic} is the module.
  */
 public interface Router {
 
-    /** Tells the module what has happened, in order, and returns what it wants done, in order. */
+    /** Passes events to the module, in order, and returns the actions to perform, in order. */
     List<Action> step(double nowMs, List<? extends Event> events);
 
     /** What an engine does with a request. */
@@ -21,12 +21,12 @@
     /** Which engines drop the repeats of a keyed request. */
     enum Scope { ALL, ZONE, CELL }
 
-    /** How an attempt ended, and whether that proves that it never took effect. */
+    /** How an attempt ended, and whether that proves that it had no effect. */
     enum Outcome {
         SERVED(false), READ(true), ERROR(false), FULL(true), STATE_GONE(true), TIMEOUT(false), UNREACHABLE(true), RESET(
                 false), CANCELLED(false), NOT_SENT(true);
 
-        /** True where the attempt is known to have had no effect. */
+        /** Whether the attempt is known to have had no effect. */
         public final boolean hadNoEffect;
 
         Outcome(boolean hadNoEffect) {
@@ -34,57 +34,74 @@
         }
     }
 
-    /** What the list says of an engine. */
+    /** The state of an engine in the list. */
     enum State { READY, DRAINING, GONE }
 
-    /** What a list event holds: changes, the whole list, the last list of an earlier life, or a failure. */
+    /** What a list event holds: changes, the whole list, the last list before a restart, or a failure. */
     enum ListKind {
         CHANGES, WHOLE, REMEMBERED, FAILED
     }
 
     /**
-     * An engine as listed; {@code startedMs} is 0 if it started long ago. A zone or cell that is not told is
-     * {@link #UNKNOWN_PLACE}.
+     * An engine as listed.
+     *
+     * @param startedMs when it started, by the clock that stamped the list; 0 if it started long ago
+     * @param zone its zone, or {@link #UNKNOWN_PLACE}
+     * @param cell its cell, or {@link #UNKNOWN_PLACE}
+     * @param kind its place in {@link Settings#kinds}
      */
     record Member(long engine, State state, double startedMs, int zone, int cell, double scale, int kind) {
-        /** No zone and no cell: such an engine shares neither with any other. */
+        /** A zone or cell that the list does not state: such an engine shares it with no other. */
         public static final int UNKNOWN_PLACE = -1;
     }
 
-    /** A load report; a value that is not told is NaN. */
+    /** A load report; a value that is not reported is NaN. */
     record Load(double memoryShare) {}
 
     /** Something that happened. */
     sealed interface Event permits Members, Arrival, FirstToken, Ended, Abandoned, Timer {}
 
-    /** News of which engines there are. */
+    /** A list of engines, or changes to it. */
     record Members(ListKind kind, long version, List<Member> members) implements Event {}
 
-    /** The node has taken a request. {@code session} and {@code prefix} are 0 for none, {@code hintMs} for no hint. */
+    /**
+     * The node has accepted a request.
+     *
+     * @param kind its place in {@link Settings#classes}
+     * @param tenant its place in {@link Settings#tenants}
+     * @param session 0 for none
+     * @param prefix 0 for none
+     * @param hintMs expected streaming time, 0 for no hint
+     */
     record Arrival(long id, int kind, int tenant, long session, double promptTokens, long prefix,
             double prefixTokens, double budgetMs, double maxOutput, double hintMs, boolean resumed)
             implements Event {}
 
-    /** A stream has begun. */
-    record FirstToken(long id, int attempt, long engine, double spentMs) implements Event {}
+    /** A stream has begun, {@code elapsedMs} after its attempt was sent. */
+    record FirstToken(long id, int attempt, long engine, double elapsedMs) implements Event {}
 
-    /** An attempt is over; {@code cachedTokens} is the part of the prompt that needed no reading, NaN if it is not told. */
-    record Ended(long id, int attempt, long engine, Outcome outcome, double spentMs, double cachedTokens,
-            boolean requestClosed,
-            Load load) implements Event {}
+    /**
+     * An attempt has ended.
+     *
+     * @param elapsedMs time since it was sent
+     * @param cachedTokens the part of the prompt that was cached, NaN if that was not reported
+     * @param requestClosed whether the request already has its final answer
+     */
+    record Ended(long id, int attempt, long engine, Outcome outcome, double elapsedMs, double cachedTokens,
+            boolean requestClosed, Load load) implements Event {}
 
-    /** Nobody waits for the request any more. */
+    /** The client has stopped waiting for the request. */
     record Abandoned(long id) implements Event {}
 
-    /** The time asked for by {@link SetTimer} has come. */
+    /** The time set by {@link SetTimer} has come. */
     record Timer(long token) implements Event {}
 
-    /** Something to do. */
+    /** Something that the node has to do. */
     sealed interface Action permits Send, Cancel, Release, Reclaim, Refuse, Fail, SetTimer, Subscribe, FetchList, Log {}
 
     /**
-     * Make an attempt, which times out at {@code deadlineMs} and must not begin after {@code startByMs}; attempts of a
-     * request are numbered from 0.
+     * Send an attempt, which times out at {@code deadlineMs} and must not begin after {@code startByMs}. The attempts
+     * of a request are numbered from 0.
      */
     record Send(long id, long engine, double deadlineMs, double startByMs) implements Action {
         /** An attempt that may begin at any time until it times out. */
@@ -93,70 +110,78 @@
         }
     }
 
-    /** Call an attempt off. */
+    /** Cancel an attempt. */
     record Cancel(long id, int attempt) implements Action {}
 
-    /** Let go of what engines hold for the request and no attempt waits for. */
+    /** Release the states that engines hold for the request and that no attempt waits for. */
     record Release(long id) implements Action {}
 
-    /** Let go of the state that a reader holds, though a write is out: it was not heard and may not have arrived. */
+    /** Release the state that a reader holds although a write is in flight, which may not have arrived. */
     record Reclaim(long id) implements Action {}
 
-    /** Why the module ends a request that nobody served. */
+    /** Why the module ends a request that was not served. */
     enum EndReason {
-        /** Its class is not one of the settings'. */
+        /** Its class is not in the settings. */
         UNKNOWN_CLASS,
-        /** Its first token is expected too late, or it takes the place of work worth more. */
+        /** Its first token is expected too late, or it would delay work of higher priority. */
         OVERLOAD,
-        /** Its client gives up now. */
+        /** Its deadline has come. */
         DEADLINE,
-        /** It has had all the attempts that the settings allow. */
+        /** It has had all attempts that the settings allow. */
         ATTEMPTS_SPENT,
         /** It may have taken effect and must not run again. */
         MAY_HAVE_RUN,
-        /** No engine could be sent to until the aim had passed. */
+        /** No engine could be sent to until its goal for the first token had passed. */
         NO_ENGINE,
-        /** Its state had waited for as long as a state may be held. */
+        /** Its state waited for as long as a state may be held. */
         STATE_HELD_TOO_LONG,
-        /** Nothing was heard of its read for as long as a state may be held, and no attempt is left to read again. */
+        /** Its read was not answered for as long as a state may be held, and no attempt is left to read again. */
         READ_UNANSWERED,
-        /** The module did not say. */
+        /** The module gave no reason. */
         UNTOLD
     }
 
-    /** End the request; the client may safely come again, after {@code retryAfterMs} if that is above 0. */
+    /** End the request. The client may safely retry, after {@code retryAfterMs} if that is above 0. */
     record Refuse(long id, double retryAfterMs, EndReason reason) implements Action {
-        /** A refusal whose reason is not told. */
+        /** A refusal without a reason. */
         public Refuse(long id, double retryAfterMs) {
             this(id, retryAfterMs, EndReason.UNTOLD);
         }
     }
 
-    /** End the request with an error that promises nothing. */
+    /** End the request with an error that does not promise that a retry is safe. */
     record Fail(long id, EndReason reason) implements Action {
-        /** A failure whose reason is not told. */
+        /** A failure without a reason. */
         public Fail(long id) {
             this(id, EndReason.UNTOLD);
         }
     }
 
-    /** Ask for a {@link Timer} event at a time. */
+    /** Deliver a {@link Timer} event at a time. */
     record SetTimer(long token, double atMs) implements Action {}
 
     /** Open the standing subscription to the list. */
     record Subscribe() implements Action {}
 
-    /** Ask once for the whole list. */
+    /** Request the whole list once. */
     record FetchList() implements Action {}
 
-    /** A line for the operators. */
+    /** A log line for operators. */
     record Log(String text) implements Action {}
 
-    /** A class of requests. */
-    record RequestClass(double aimMs, double aimMsPerToken, double deadlineMs, double tokenAimMs, double priority,
-            double lateShare, Repeat repeat, Scope scope, double keyTtlMs) {}
+    /**
+     * A class of requests.
+     *
+     * @param firstTokenGoalMs goal for the time to the first token, without the prompt's part
+     * @param goalMsPerPromptToken what each token of the prompt adds to that goal
+     * @param tokenGoalMs goal for the time of each output token
+     * @param priority priority under overload: requests of lower priority are refused first
+     * @param keyTtlMs time for which engines drop the repeats of a keyed request
+     */
+    record RequestClass(double firstTokenGoalMs, double goalMsPerPromptToken, double deadlineMs, double tokenGoalMs,
+            double priority, double lateShare, Repeat repeat, Scope scope, double keyTtlMs) {}
 
-    /** A tenant and the requests a second, over all nodes, that are within its share; 0 for no limit. */
+    /** A tenant, with the requests per second at all nodes that are within its share; 0 for no limit. */
     record Tenant(double quotaPerSecond) {}
 
     /** A kind of engine. */
@@ -171,10 +196,14 @@
             double tipWindowMs, double warmAfterMs, double askWithinMs) {}
 
     /**
-     * What the module is told at the start of its life. All its draws come from {@code seed}, which should differ
-     * from node to node. An {@code overSharePriorityFactor} of 1 makes shares idle.
+     * The settings with which a module starts.
+     *
+     * @param seed seed of all its random draws, which should differ from node to node
+     * @param nodeCount number of nodes that share the engines
+     * @param mustSubscribe whether the module has to subscribe to the list
+     * @param overSharePriorityFactor factor on the priority of a request over its tenant's share; 1 for no effect
      */
     record Settings(long seed, int nodeCount, int zone, double tickMs, boolean mustSubscribe,
-            double overSharePriorityFactor,
-            List<RequestClass> classes, List<Tenant> tenants, List<Kind> kinds, Limits limits, Rules rules) {}
+            double overSharePriorityFactor, List<RequestClass> classes, List<Tenant> tenants, List<Kind> kinds,
+            Limits limits, Rules rules) {}
 }
--- a/src/main/java/maplerail/package-info.java
+++ b/src/main/java/maplerail/package-info.java
@@ -1,2 +1,2 @@
-/** The decision module and what it and the node say to each other. */
+/** The decision module, and the interface between it and the node. */
 package maplerail;
--- a/src/main/java/maplerail/policy/AnswerRates.java
+++ b/src/main/java/maplerail/policy/AnswerRates.java
@@ -4,14 +4,14 @@
 import java.util.TreeMap;
 import maplerail.Router.Role;
 
-/** How often the engines of each role have answered this node of late: a rate that fades exponentially. */
+/** Rates at which the engines of each role have answered this node recently; they fade exponentially. */
 public final class AnswerRates {
     private record Rate(double perMs, double atMs) {}
 
     private final double fadeMs;
     private final Map<Role, Rate> rates = new TreeMap<>();
 
-    /** Makes rates that fade to a part of e in so long. */
+    /** Makes rates that fade to 1/e within {@code fadeMs}. */
     public AnswerRates(double fadeMs) {
         this.fadeMs = fadeMs;
     }
@@ -21,10 +21,10 @@
         rates.put(role, new Rate(perMs(role, nowMs) + 1 / fadeMs, nowMs));
     }
 
-    /** Answers a millisecond from a role. */
+    /** Answers per millisecond from a role. */
     public double perMs(Role role, double nowMs) {
-        Rate known = rates.get(role);
-        return known == null ? 0 : known.perMs() * Math.exp((known.atMs() - nowMs) / fadeMs);
+        Rate rate = rates.get(role);
+        return rate == null ? 0 : rate.perMs() * Math.exp((rate.atMs() - nowMs) / fadeMs);
     }
 
     /** Whether no engine has answered yet. */
--- a/src/main/java/maplerail/policy/ArrivalCounts.java
+++ b/src/main/java/maplerail/policy/ArrivalCounts.java
@@ -3,35 +3,35 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** How many of the arrivals of late had each key; counts fade, and the number of keys is bounded. */
+/** Counts of recent arrivals by key. Counts fade exponentially, and the number of keys is bounded. */
 public final class ArrivalCounts {
-    private static final int MAX_KEYS = 20_000; // far above what lives
+    private static final int MAX_KEYS = 20_000; // far above the number of keys in use at a time
 
     private record Count(double arrivals, double atMs) {}
 
     private final double fadeMs;
     private final Map<Long, Count> counts = new LinkedHashMap<>();
 
-    /** Makes counts that fade to a part of e in so long. */
+    /** Makes counts that fade to 1/e within {@code fadeMs}. */
     public ArrivalCounts(double fadeMs) {
         this.fadeMs = fadeMs;
     }
 
-    /** Arrivals with a key within the fading time, about. */
-    public double of(long key, double nowMs) {
-        Count known = counts.get(key);
-        return known == null ? 0 : known.arrivals() * Math.exp((known.atMs() - nowMs) / fadeMs);
+    /** Approximate number of arrivals with a key within the fading time. */
+    public double count(long key, double nowMs) {
+        Count count = counts.get(key);
+        return count == null ? 0 : count.arrivals() * Math.exp((count.atMs() - nowMs) / fadeMs);
     }
 
-    /** One more. */
+    /** Counts an arrival. */
     public void add(long key, double nowMs) {
-        double arrivals = of(key, nowMs) + 1;
+        double arrivals = count(key, nowMs) + 1;
         counts.remove(key);
         counts.put(key, new Count(arrivals, nowMs));
         if (counts.size() > MAX_KEYS) counts.remove(counts.keySet().iterator().next());
     }
 
-    /** Keys that are counted. */
+    /** Number of keys. */
     public int size() {
         return counts.size();
     }
--- a/src/main/java/maplerail/policy/Bounds.java
+++ b/src/main/java/maplerail/policy/Bounds.java
@@ -2,22 +2,22 @@
 
 import maplerail.Router.Arrival;
 
-/** Bounds on what a node is told: an absurd figure must not poison an estimate that outlives its request. */
+/** Bounds on reported figures. Guards against an absurd value that corrupts an estimate outliving its request. */
 public final class Bounds {
-    /** Tokens or milliseconds; no length or time that is told is held to be longer. */
-    public static final double MOST = 1e7;
+    /** Upper bound of a reported length or time, in tokens or milliseconds. */
+    public static final double MAX = 1e7;
 
     private Bounds() {}
 
-    /** A length or time as it can be: 0 in place of NaN and of what is negative, and at most {@link #MOST}. */
+    /** A length or time within bounds: 0 in place of NaN and negative values, and at most {@link #MAX}. */
     public static double clamp(double value) {
-        return value > 0 ? Math.min(value, MOST) : 0;
+        return value > 0 ? Math.min(value, MAX) : 0;
     }
 
-    /** An arrival whose lengths and times are all within the bounds. */
-    public static Arrival clamp(Arrival told) {
-        return new Arrival(told.id(), told.kind(), told.tenant(), told.session(), clamp(told.promptTokens()),
-                told.prefix(), clamp(told.prefixTokens()), clamp(told.budgetMs()), clamp(told.maxOutput()),
-                clamp(told.hintMs()), told.resumed());
+    /** An arrival with all its lengths and times within bounds. */
+    public static Arrival clamp(Arrival arrival) {
+        return new Arrival(arrival.id(), arrival.kind(), arrival.tenant(), arrival.session(),
+                clamp(arrival.promptTokens()), arrival.prefix(), clamp(arrival.prefixTokens()),
+                clamp(arrival.budgetMs()), clamp(arrival.maxOutput()), clamp(arrival.hintMs()), arrival.resumed());
     }
 }
--- a/src/main/java/maplerail/policy/DeficitCounters.java
+++ b/src/main/java/maplerail/policy/DeficitCounters.java
@@ -4,27 +4,27 @@
 import java.util.TreeMap;
 
 /**
- * The deficit counters of D2LPM (deficit-based longest prefix match): a client may be sent to a reader while it has
- * credit there, and all of its counters grow together when it has credit nowhere. A counter is kept as the difference
- * between what the client was granted at every reader and what it has used at this one.
+ * The deficit counters of D2LPM (deficit-based longest prefix match). A client's requests may be sent to a reader while
+ * the client has credit there; when it has credit at no reader, all its counters grow together. A counter is stored as
+ * the difference between the tokens granted to the client at every reader and those that it has used at this one.
  */
 public final class DeficitCounters {
-    private static final double QUANTUM = 40_000; // tokens; what every counter of a client grows by
+    private static final double QUANTUM_TOKENS = 40_000; // by which all counters of a client grow together
 
     /** Tokens granted to each client at every reader. */
     private final Map<Integer, Double> granted = new TreeMap<>();
 
     /** The counters of one reader. */
-    public final class OfReader {
-        /** Tokens that each client has used of those granted. */
+    public final class ReaderCounters {
+        /** Tokens that each client has used. */
         private final Map<Integer, Double> used = new TreeMap<>();
 
-        private OfReader() {}
+        private ReaderCounters() {}
 
-        /** Tokens that a client has left here; where it was not charged yet, as at a newcomer, a quantum at most. */
+        /** A client's remaining tokens; at most a quantum where it was never charged, as at a new reader. */
         public double credit(int client) {
-            double all = granted(client);
-            return all - used.getOrDefault(client, Math.max(0, all - QUANTUM));
+            double clientGrant = granted(client);
+            return clientGrant - used.getOrDefault(client, Math.max(0, clientGrant - QUANTUM_TOKENS));
         }
 
         /** Takes tokens from a client's credit, which may become negative. */
@@ -34,14 +34,14 @@
     }
 
     /** The counters of a reader that no client has used yet. */
-    public OfReader newReader() {
-        return new OfReader();
+    public ReaderCounters newReader() {
+        return new ReaderCounters();
     }
 
-    /** Adds as many quanta to a client's counters as make the largest of them positive, none if it is already. */
+    /** Adds as many quanta to a client's counters as make the largest of them positive; none if it already is. */
     public void growIfSpent(int client, double largestCredit) {
         if (largestCredit <= 0)
-            granted.merge(client, QUANTUM * (Math.floor(-largestCredit / QUANTUM) + 1), Double::sum);
+            granted.merge(client, QUANTUM_TOKENS * (Math.floor(-largestCredit / QUANTUM_TOKENS) + 1), Double::sum);
     }
 
     private double granted(int client) {
--- a/src/main/java/maplerail/policy/PriorAttempt.java
+++ b/src/main/java/maplerail/policy/PriorAttempt.java
@@ -5,20 +5,20 @@
 import maplerail.policy.ProtocolRules.Target;
 
 /**
- * An attempt that was made for a request, as far as {@link ProtocolRules} has to know it.
+ * The facts of an earlier attempt that {@link ProtocolRules} needs.
  *
- * @param target its engine, as listed when it was sent
+ * @param target its engine as listed when it was sent
  * @param sentMs when it was sent
- * @param end how it ended, or null while it is out
+ * @param outcome how it ended, or null while it is in flight
  */
-public record PriorAttempt(Target target, double sentMs, Outcome end) {
-    /** True while it has not ended. */
-    public boolean out() {
-        return end == null;
+public record PriorAttempt(Target target, double sentMs, Outcome outcome) {
+    /** Whether it has not ended. */
+    public boolean inFlight() {
+        return outcome == null;
     }
 
-    /** True unless it is a read, which has no effect however it ends, or its end proves that it had none. */
+    /** Whether it may have had an effect. A read never has one, and some outcomes prove that there was none. */
     public boolean mayHaveRun() {
-        return target.role() != Role.READ && (out() || !end.hadNoEffect);
+        return target.role() != Role.READ && (inFlight() || !outcome.hadNoEffect);
     }
 }
--- a/src/main/java/maplerail/policy/RecentMean.java
+++ b/src/main/java/maplerail/policy/RecentMean.java
@@ -2,23 +2,23 @@
 
 import java.util.stream.Stream;
 
-/** A mean of recent samples and the weight that they still have: it fades with time, and older samples count less. */
+/** A mean of recent samples, with a weight: the weight fades with time, and newer samples count more than older ones. */
 public final class RecentMean {
-    private final double mostSamples;
-    private final double memoryMs;
+    private final double maxSamples;
+    private final double fadeMs;
     private double mean;
     private double weight;
     private double atMs;
 
-    /** Makes a mean with no samples that goes back over so many samples and so long. */
-    public RecentMean(double mostSamples, double memoryMs) {
-        this.mostSamples = mostSamples;
-        this.memoryMs = memoryMs;
+    /** Makes a mean without samples, over at most {@code maxSamples} whose weight fades to 1/e in {@code fadeMs}. */
+    public RecentMean(double maxSamples, double fadeMs) {
+        this.maxSamples = maxSamples;
+        this.fadeMs = fadeMs;
     }
 
-    /** Counts one more sample. */
+    /** Adds a sample. */
     public void add(double value, double nowMs) {
-        weight = Math.min(mostSamples - 1, weight(nowMs)) + 1;
+        weight = Math.min(maxSamples - 1, weight(nowMs)) + 1;
         mean += (value - mean) / weight;
         atMs = nowMs;
     }
@@ -28,24 +28,24 @@
         return mean;
     }
 
-    /** How many samples it still stands for. */
+    /** Number of samples that the mean still stands for. */
     public double weight(double nowMs) {
-        return weight * Math.exp((atMs - nowMs) / memoryMs);
+        return weight * Math.exp((atMs - nowMs) / fadeMs);
     }
 
-    /** Lets what was seen so far count as so many samples, as of the last one. */
-    public void reweigh(double samples) {
+    /** Sets the weight of the samples so far, as of the last one. */
+    public void setWeight(double samples) {
         weight = samples;
     }
 
-    /** The mean as far as it is still believed, if it fades within some time of the last sample. */
-    public double faded(double fadeMs, double nowMs) {
-        return mean * Math.exp((atMs - nowMs) / fadeMs);
+    /** The mean, decayed exponentially since the last sample. */
+    public double decayed(double decayMs, double nowMs) {
+        return mean * Math.exp((atMs - nowMs) / decayMs);
     }
 
-    /** The lower median of those that stand for so many samples at least, NaN if there are none. */
-    public static double median(Stream<RecentMean> among, double leastSamples, double nowMs) {
-        double[] means = among.filter(seen -> seen.weight(nowMs) >= leastSamples).mapToDouble(RecentMean::mean)
+    /** The lower median of the means with at least a minimum weight, NaN if there are none. */
+    public static double median(Stream<RecentMean> all, double minWeight, double nowMs) {
+        double[] means = all.filter(recent -> recent.weight(nowMs) >= minWeight).mapToDouble(RecentMean::mean)
                 .filter(mean -> mean >= 0).sorted().toArray();
         return means.length == 0 ? Double.NaN : means[(means.length - 1) / 2];
     }
--- a/src/main/java/maplerail/policy/Rendezvous.java
+++ b/src/main/java/maplerail/policy/Rendezvous.java
@@ -4,26 +4,29 @@
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToLongFunction;
 
-/** Rendezvous hashing: all nodes rank the engines for a key alike, without talking to each other. */
+/** Rendezvous hashing: all nodes rank the engines for a key in the same order without communication. */
 public final class Rendezvous {
     private Rendezvous() {}
 
-    /** The rank of an engine for a key; the lowest is the key's home. */
+    /** The rank of an engine for a key; the engine with the lowest rank owns the key. */
     public static long weight(long key, long engine) {
         return mix(key ^ mix(engine));
     }
 
-    /** The one of the lowest value; of equals, the home of the key, so that nodes don't herd. Null for none. */
-    public static <T> T least(Collection<T> among, ToDoubleFunction<T> by, ToLongFunction<T> id, long key) {
+    /**
+     * The element with the lowest value, or null if there is none. The rank for the key decides between equals, so that
+     * nodes do not all choose the same element.
+     */
+    public static <T> T min(Collection<T> candidates, ToDoubleFunction<T> value, ToLongFunction<T> id, long key) {
         T best = null;
         double lowest = Double.POSITIVE_INFINITY;
-        for (T one : among) {
-            double value = by.applyAsDouble(one);
-            boolean nearer = value == lowest && best != null
-                    && weight(key, id.applyAsLong(one)) < weight(key, id.applyAsLong(best));
-            if (best == null || value < lowest || nearer) {
-                best = one;
-                lowest = value;
+        for (T candidate : candidates) {
+            double candidateValue = value.applyAsDouble(candidate);
+            boolean ranksLower = candidateValue == lowest && best != null
+                    && weight(key, id.applyAsLong(candidate)) < weight(key, id.applyAsLong(best));
+            if (best == null || candidateValue < lowest || ranksLower) {
+                best = candidate;
+                lowest = candidateValue;
             }
         }
         return best;
--- a/src/main/java/maplerail/policy/RequestState.java
+++ b/src/main/java/maplerail/policy/RequestState.java
@@ -5,30 +5,31 @@
 import maplerail.Router.RequestClass;
 
 /**
- * What has become of a request so far, as far as {@link ProtocolRules} has to know it.
+ * The facts of a request that {@link ProtocolRules} needs.
  *
- * @param requestClass its class, or null if the settings do not name it
- * @param over true once it has its final answer or its stream has begun: nothing more is sent for it
- * @param deadlineMs when its client gives up
- * @param attempts all attempts made, in order, whatever became of them
+ * @param requestClass its class, or null if it is not in the settings
+ * @param answered whether it has its final answer or its stream has begun, after which no attempt is sent
+ * @param deadlineMs when its client stops waiting
+ * @param attempts all its attempts in order, with any outcome
  */
-public record RequestState(RequestClass requestClass, boolean over, double deadlineMs, List<PriorAttempt> attempts) {
-    /** Whether an attempt has not ended. */
-    boolean anyOut() {
-        return first(PriorAttempt::out) != null;
+public record RequestState(RequestClass requestClass, boolean answered, double deadlineMs,
+        List<PriorAttempt> attempts) {
+    /** Whether an attempt is in flight. */
+    boolean anyInFlight() {
+        return first(PriorAttempt::inFlight) != null;
     }
 
-    /** The first attempt that may have taken effect, or null if none has. */
+    /** The first attempt that may have taken effect, or null. */
     PriorAttempt firstThatMayHaveRun() {
         return first(PriorAttempt::mayHaveRun);
     }
 
-    /** The first attempt that binds all later ones, as it is out or may have taken effect; or null. */
-    PriorAttempt firstThatBinds() {
-        return first(attempt -> attempt.out() || attempt.mayHaveRun());
+    /** The first attempt that binds later ones because it is in flight or may have taken effect, or null. */
+    PriorAttempt firstBinding() {
+        return first(attempt -> attempt.inFlight() || attempt.mayHaveRun());
     }
 
-    private PriorAttempt first(Predicate<PriorAttempt> which) {
-        return attempts.stream().filter(which).findFirst().orElse(null);
+    private PriorAttempt first(Predicate<PriorAttempt> condition) {
+        return attempts.stream().filter(condition).findFirst().orElse(null);
     }
 }
--- a/src/main/java/maplerail/policy/StateLease.java
+++ b/src/main/java/maplerail/policy/StateLease.java
@@ -3,56 +3,59 @@
 import maplerail.Router.Outcome;
 
 /**
- * The lease on the state that a reader holds for a request. It begins when the reader says so and runs out after the time
- * that the settings allow; then the state has to be on its way to a writer that runs, or to be let go. Only an answer
- * from an engine renews it: that proves that the engine was running and that an attempt was out until then. What left
- * this process proves nothing, and neither does a connection that came up, as the system of a process that is stopped
- * takes both.
+ * The lease on the state that a reader holds for a request. It starts when the reader reports the state and expires after
+ * the term of the settings; by then the state must be on its way to a running writer or be released. Only an answer from
+ * an engine renews it: that proves that the engine was running and that an attempt was in flight until then. Bytes that
+ * left this process prove nothing, and neither does a connection that was established, as the operating system of a
+ * stopped process accepts both.
  */
 public final class StateLease {
-    /** In lease terms, after which a write that has not been heard may be doubted: the rest is for what follows. */
-    private static final double DOUBT_TERMS = 0.7;
-    /** Times the usual wait for a first token, after which silence is remarkable. */
-    private static final double UNUSUAL = 3;
+    /** Share of the term after which a silent write may be given up; the rest is left for what follows. */
+    private static final double MIN_SILENCE_TERMS = 0.7;
+    /** Multiple of the usual wait for a first token from which silence is unusual. */
+    private static final double UNUSUAL_WAIT_FACTOR = 3;
 
     private final double termMs;
     private double termStartMs;
 
-    /** Makes a lease of so long that begins now. */
+    /** Makes a lease that starts now. */
     public StateLease(double termMs, double nowMs) {
         this.termMs = termMs;
         this.termStartMs = nowMs;
     }
 
-    /** Whether an outcome is an answer of an engine that runs; all others are what this side saw or decided. */
-    public static boolean isAnswer(Outcome outcome) {
+    /** Whether an outcome is an answer of a running engine; all others were observed or decided on this side. */
+    public static boolean isEngineAnswer(Outcome outcome) {
         return switch (outcome) {
             case SERVED, READ, ERROR, FULL, STATE_GONE -> true;
             case TIMEOUT, UNREACHABLE, RESET, CANCELLED, NOT_SENT -> false;
         };
     }
 
-    /** An attempt of the request has ended: if an engine answered it, the term begins anew. */
+    /** An attempt of the request has ended: renews the lease if an engine answered it. */
     public void onAttemptEnded(Outcome outcome, double nowMs) {
-        if (isAnswer(outcome)) termStartMs = nowMs;
+        if (isEngineAnswer(outcome)) termStartMs = nowMs;
     }
 
-    /** Since when nothing proves that an attempt was out. */
+    /** When the term started: since then nothing proves that an attempt was in flight. */
     public double termStartMs() {
         return termStartMs;
     }
 
-    /** When the state must have been taken or let go. */
+    /** When the state must have been fetched or released. */
     public double expiresMs() {
         return termStartMs + termMs;
     }
 
     /**
-     * When a write of which nothing has been heard is no longer to be waited for with the state held: as late as silence
-     * is usual, within the term less a margin. Where writers usually take as long as the term, that is its end.
+     * Until when the state is held for a write that has been silent since it was sent: until the silence is unusual, but
+     * no later than a margin before the lease expires. That is the limit too where writers usually take as long as the
+     * term.
+     *
+     * @param usualWaitMs usual wait for a first token, NaN if unknown
      */
-    public double doubtMs(double sentMs, double usualWaitMs, double marginMs) {
-        double unusualMs = sentMs + (usualWaitMs > 0 ? UNUSUAL * usualWaitMs : 0); // NaN: not known
-        return Math.min(Math.max(unusualMs, termStartMs + DOUBT_TERMS * termMs), expiresMs() - marginMs);
+    public double reclaimAtMs(double sentMs, double usualWaitMs, double marginMs) {
+        double unusualMs = sentMs + (usualWaitMs > 0 ? UNUSUAL_WAIT_FACTOR * usualWaitMs : 0);
+        return Math.min(Math.max(unusualMs, termStartMs + MIN_SILENCE_TERMS * termMs), expiresMs() - marginMs);
     }
 }
--- a/src/main/java/maplerail/policy/package-info.java
+++ b/src/main/java/maplerail/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions as pure functions of what is known: no input or output, no clock, no thread. */
+/** Decisions as pure functions of known facts: no input or output, no clock, no threads. */
 package maplerail.policy;
--- a/src/test/java/maplerail/Node.java
+++ b/src/test/java/maplerail/Node.java
@@ -144,6 +144,6 @@
 
     /** Entries in the module's tables. */
     int tableSizes() {
-        return logic.held();
+        return logic.tableEntries();
     }
 }
--- a/src/test/java/maplerail/policy/BoundsTest.java
+++ b/src/test/java/maplerail/policy/BoundsTest.java
@@ -18,14 +18,14 @@
     @ParameterizedTest
     @ValueSource(doubles = {1e7, 1e7 + 1, Double.MAX_VALUE, Double.POSITIVE_INFINITY})
     void nothingIsLongerThanTheMost(double value) {
-        assertThat(Bounds.clamp(value)).isEqualTo(Bounds.MOST);
+        assertThat(Bounds.clamp(value)).isEqualTo(Bounds.MAX);
     }
 
     @Test
     void everyFigureOfAnArrivalIsBoundedAndAllElseIsKept() {
         Arrival told = new Arrival(7, 1, 2, 3, Double.NaN, 4, -5, 1e300, Double.POSITIVE_INFINITY, 6, true);
         assertThat(Bounds.clamp(told))
-                .isEqualTo(new Arrival(7, 1, 2, 3, 0, 4, 0, Bounds.MOST, Bounds.MOST, 6, true));
+                .isEqualTo(new Arrival(7, 1, 2, 3, 0, 4, 0, Bounds.MAX, Bounds.MAX, 6, true));
     }
 
     @Test
--- a/src/test/java/maplerail/policy/DeficitCountersTest.java
+++ b/src/test/java/maplerail/policy/DeficitCountersTest.java
@@ -10,7 +10,7 @@
     private static final double QUANTUM = 40_000;
 
     private final DeficitCounters counters = new DeficitCounters();
-    private final DeficitCounters.OfReader reader = counters.newReader();
+    private final DeficitCounters.ReaderCounters reader = counters.newReader();
 
     @Test
     void growsByAQuantumWhenNothingIsLeft() {
@@ -37,7 +37,7 @@
     void chargesOnlyTheClientAndTheReaderThatAreNamed() {
         counters.growIfSpent(CLIENT, 0);
         counters.growIfSpent(OTHER, 0);
-        DeficitCounters.OfReader second = counters.newReader();
+        DeficitCounters.ReaderCounters second = counters.newReader();
         reader.charge(CLIENT, 100);
         assertThat(reader.credit(CLIENT)).isEqualTo(QUANTUM - 100);
         assertThat(reader.credit(OTHER)).isEqualTo(QUANTUM);
--- a/src/test/java/maplerail/policy/EngineAgeTest.java
+++ b/src/test/java/maplerail/policy/EngineAgeTest.java
@@ -16,7 +16,7 @@
     private final EngineClock clock = new EngineClock(new Rules(8, 500, 0.25, 2.5, 2_000, WARM_MS, 10_000));
 
     private void tell(ListKind kind, double nowMs, Member... members) {
-        clock.hear(kind, List.of(members), nowMs);
+        clock.onList(kind, List.of(members), nowMs);
     }
 
     private static Member started(long engine, double stamp) {
@@ -48,7 +48,7 @@
     @Test
     void aSoundFleetOfAFirstListIsNotHeldToBeCold() {
         tell(ListKind.WHOLE, 10 * HOUR_MS, started(1, HOUR_MS), started(2, HOUR_MS + 100), started(3, HOUR_MS + 200));
-        assertThat(clock.cold(clock.startedMs(3), 10 * HOUR_MS)).isFalse();
+        assertThat(clock.isCold(clock.startedMs(3), 10 * HOUR_MS)).isFalse();
     }
 
     @Test
@@ -56,6 +56,6 @@
         tell(ListKind.WHOLE, 1_000, started(1, 900));
         clock.forget(1);
         assertThat(clock.startedMs(1)).isZero();
-        assertThat(clock.presentCapacity(clock.startedMs(1), 1_000)).isEqualTo(1);
+        assertThat(clock.currentCapacity(clock.startedMs(1), 1_000)).isEqualTo(1);
     }
 }
--- a/src/test/java/maplerail/policy/StateLeaseTest.java
+++ b/src/test/java/maplerail/policy/StateLeaseTest.java
@@ -35,16 +35,16 @@
     @ValueSource(doubles = {Double.NaN, 0, 40, 130, 390, 5_000})
     void aWriteIsDoubtedWithinTheTermHoweverLongWritersTake(double usualWaitMs) {
         for (double sentAfterMs = 0; sentAfterMs <= TERM_MS; sentAfterMs += 10) {
-            double doubtMs = lease.doubtMs(START_MS + sentAfterMs, usualWaitMs, MARGIN_MS);
+            double doubtMs = lease.reclaimAtMs(START_MS + sentAfterMs, usualWaitMs, MARGIN_MS);
             assertThat(doubtMs).isBetween(START_MS + 0.7 * TERM_MS, START_MS + TERM_MS - MARGIN_MS);
         }
     }
 
     @Test
     void aWriteIsWaitedForAsLongAsIsUsualWhereTheTermAllowsIt() {
-        assertThat(lease.doubtMs(START_MS, 20, MARGIN_MS)).isEqualTo(START_MS + 350);
-        assertThat(lease.doubtMs(START_MS, 140, MARGIN_MS)).isEqualTo(START_MS + 420);
-        assertThat(lease.doubtMs(START_MS + 260, 50, MARGIN_MS)).isEqualTo(START_MS + 410);
+        assertThat(lease.reclaimAtMs(START_MS, 20, MARGIN_MS)).isEqualTo(START_MS + 350);
+        assertThat(lease.reclaimAtMs(START_MS, 140, MARGIN_MS)).isEqualTo(START_MS + 420);
+        assertThat(lease.reclaimAtMs(START_MS + 260, 50, MARGIN_MS)).isEqualTo(START_MS + 410);
     }
 
     /**
@@ -63,7 +63,7 @@
             double endedMs = nowMs + 100;
             StateLease next = new StateLease(TERM_MS, current.termStartMs());
             next.onAttemptEnded(outcome, endedMs);
-            checkAllSequences(next, endedMs, StateLease.isAnswer(outcome) ? endedMs : lastAnswerMs, depth - 1);
+            checkAllSequences(next, endedMs, StateLease.isEngineAnswer(outcome) ? endedMs : lastAnswerMs, depth - 1);
         }
     }
 }
