--- a/src/test/java/maplerail/ArchitectureTest.java
+++ b/src/test/java/maplerail/ArchitectureTest.java
@@ -29,13 +29,13 @@
                     || c.isPrimitive() || c.isArray());
 
     @Test
-    void logicKnowsOnlyRouterAndTheJdk() {
+    void decisionCodeDependsOnlyOnRouterPolicyAndTheJdk() {
         ArchRuleDefinition.classes().that().haveNameMatching("maplerail\\.(Logic|Router|policy\\.).*")
                 .should().onlyDependOnClassesThat(LOGIC_ROUTER_OR_JDK).check(classes);
     }
 
     @Test
-    void logicHasNoClockNoInputNoThreads() {
+    void decisionCodeUsesNoClockInputOutputOrThreads() {
         ArchRuleDefinition.noClasses().that().haveNameMatching("maplerail\\.(Logic|policy\\.).*")
                 .should().dependOnClassesThat().resideInAnyPackage("java.io..", "java.nio..", "java.net..",
                         "java.time..", "java.util.concurrent..")
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void theCoreKnowsNoWire() {
+    void coreDoesNotDependOnNetworkCode() {
         ArchRuleDefinition.noClasses().that().resideInAPackage("maplerail.core..").should().dependOnClassesThat()
                 .resideInAnyPackage("io.undertow..", "org.xnio..", "com.fasterxml..", "java.net..", "java.nio..",
                         "maplerail.net..", "maplerail.front..", "maplerail.discovery..", "maplerail.config..",
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void theFrontsDoNotKnowEachOtherNorTheSimulator() {
+    void frontsDoNotDependOnEachOtherNorOnTheSimulator() {
         ArchRuleDefinition.noClasses().that().resideInAPackage("maplerail.front.platform..").should()
                 .dependOnClassesThat().resideInAnyPackage("maplerail.front.jsonrpc..", "maplerail.sim..")
                 .check(classes);
--- a/src/test/java/maplerail/KeyedRepeatTest.java
+++ b/src/test/java/maplerail/KeyedRepeatTest.java
@@ -21,7 +21,7 @@
 import maplerail.config.JsonValue;
 import org.junit.jupiter.api.Test;
 
-/** Guards against keyed work that goes on outside the group or the window of what may have run. */
+/** Guards against keyed work that continues outside the repeat scope or window of an attempt that may have run. */
 class KeyedRepeatTest {
     private static final int READS = 0;
     private static final int WRITES = 1;
@@ -31,7 +31,7 @@
         Node node = new Node();
         node.repeat = Repeat.KEYED;
         node.scope = scope;
-        node.copies = false;
+        node.secondCopies = false;
         return node;
     }
 
@@ -50,88 +50,89 @@
                 ready(231, 2, 3, READS), ready(232, 2, 3, WRITES), ready(233, 2, 3, WRITES)};
     }
 
-    /** Reads once, loses a write that may have run, and returns the writer; the next writer finds no state. */
-    private static long loseAWrite(Node node) {
+    /** Reads, loses a write that may have run, and lets the next writer find no state. Returns the first writer. */
+    private static long loseWrite(Node node) {
         node.arrive(1);
         node.end(1, 0, Outcome.READ);
-        long writer = node.sent().engine();
+        long writer = node.lastSend().engine();
         node.end(1, 1, Outcome.RESET);
         node.end(1, 2, Outcome.STATE_GONE);
         return writer;
     }
 
-    private static Set<Long> after(Node node, int attempts) {
+    private static Set<Long> enginesAfter(Node node, int attempts) {
         return node.sends().stream().skip(attempts).map(Send::engine).collect(Collectors.toSet());
     }
 
     @Test
     void aReadAfterAWriteThatMayHaveRunStaysInItsZone() {
         Node node = node(Scope.ZONE).start(threeCells());
-        long zone = loseAWrite(node) / 100;
+        long zone = loseWrite(node) / 100;
         assertThat(node.sends()).hasSize(4);
-        assertThat(after(node, 2)).allMatch(engine -> engine / 100 == zone);
+        assertThat(enginesAfter(node, 2)).allMatch(engine -> engine / 100 == zone);
     }
 
     @Test
     void aReadAfterAWriteThatMayHaveRunStaysInItsCell() {
         Node node = node(Scope.CELL).start(threeCells());
-        long cell = loseAWrite(node) / 10;
+        long cell = loseWrite(node) / 10;
         assertThat(node.sends()).hasSize(4);
-        assertThat(after(node, 2)).allMatch(engine -> engine / 10 == cell);
+        assertThat(enginesAfter(node, 2)).allMatch(engine -> engine / 10 == cell);
     }
 
-    /** One of many nodes, which hardly knows its readers: any other would call a silent read off before. */
+    /** At one of many nodes, which gets few answers from its readers: others would cancel a silent read earlier. */
     @Test
-    void aReadThatIsOutAtTheEndOfTheWindowIsGivenUpAtOnce() {
+    void aReadInFlightIsCancelledAtTheEndOfTheWindow() {
         Node node = node(Scope.ZONE);
-        node.routers = 100;
+        node.nodeCount = 100;
         node.start(threeCells());
-        double firstWriteMs = node.now;
-        loseAWrite(node);
+        double firstWriteMs = node.nowMs;
+        loseWrite(node);
         assertThat(node.sends().get(3).startByMs()).isBetween(firstWriteMs + WINDOW_MS - 50, firstWriteMs + WINDOW_MS);
-        node.until(firstWriteMs + WINDOW_MS);
-        assertThat(node.of(Fail.class)).containsExactly(new Fail(1, EndReason.MAY_HAVE_RUN));
-        assertThat(node.of(Cancel.class)).contains(new Cancel(1, 3));
+        node.advanceTo(firstWriteMs + WINDOW_MS);
+        assertThat(node.actionsOf(Fail.class)).containsExactly(new Fail(1, EndReason.MAY_HAVE_RUN));
+        assertThat(node.actionsOf(Cancel.class)).contains(new Cancel(1, 3));
     }
 
     @Test
-    void nothingIsReadAnewForWritersThatAreAllOutsideTheGroup() {
+    void nothingIsReadAgainIfAllWritersAreOutsideTheScope() {
         Node node = node(Scope.CELL).start(threeCells());
         node.arrive(1);
         node.end(1, 0, Outcome.READ);
-        long cell = node.sent().engine() / 10;
-        node.list(ListKind.CHANGES, member(cell * 10 + 2, State.DRAINING, (int) cell / 10, (int) cell % 10, WRITES),
+        long cell = node.lastSend().engine() / 10;
+        node.reportList(ListKind.CHANGES,
+                member(cell * 10 + 2, State.DRAINING, (int) cell / 10, (int) cell % 10, WRITES),
                 member(cell * 10 + 3, State.DRAINING, (int) cell / 10, (int) cell % 10, WRITES));
         node.end(1, 1, Outcome.RESET);
         assertThat(node.sends()).hasSize(2);
-        assertThat(node.of(Fail.class)).containsExactly(new Fail(1, EndReason.MAY_HAVE_RUN));
+        assertThat(node.actionsOf(Fail.class)).containsExactly(new Fail(1, EndReason.MAY_HAVE_RUN));
     }
 
     @Test
-    void aRefusalIsNotGivenWhileAReadIsOutUnlessAllEnginesDropRepeats() {
+    void noRefusalIsSentWhileAReadIsInFlightUnlessAllEnginesDropRepeats() {
         for (Scope scope : Scope.values()) {
             Node node = node(scope).start(threeCells());
             node.cancel = false;
             node.arrive(1);
-            node.until(node.now + 5_000);
-            assertThat(node.of(Refuse.class)).hasSize(scope == Scope.ALL ? 1 : 0);
-            assertThat(node.answers(1)).isEqualTo(1);
+            node.advanceTo(node.nowMs + 5_000);
+            assertThat(node.actionsOf(Refuse.class)).hasSize(scope == Scope.ALL ? 1 : 0);
+            assertThat(node.finalAnswers(1)).isEqualTo(1);
         }
     }
 
     @Test
-    void aWriteIsNotCalledOffWhereNoOtherWriterMayFollow() {
+    void aWriteIsNotCancelledIfNoOtherWriterMayFollow() {
         Node node = node(Scope.CELL).start(ready(111, 1, 1, READS), ready(112, 1, 1, WRITES),
                 ready(231, 2, 3, READS), ready(232, 2, 3, WRITES));
         node.arrive(1);
         node.end(1, 0, Outcome.READ);
-        node.until(node.now + WINDOW_MS);
-        assertThat(node.of(Cancel.class)).isEmpty();
+        node.advanceTo(node.nowMs + WINDOW_MS);
+        assertThat(node.actionsOf(Cancel.class)).isEmpty();
     }
 
-    /** A list that does not tell the zone or the cell: nobody knows who drops a repeat. */
+    /** If the list states neither the zone nor the cell, it is unknown which engines drop a repeat. */
     @Test
-    void workWhoseGroupIsNotToldIsSentOnceOnly() {
+    void workIsSentOnlyOnceIfItsScopeIsUnknown() {
         for (Scope scope : List.of(Scope.ZONE, Scope.CELL)) {
             String hosts = "";
             for (String host : List.of("r1", "w1", "w2")) {
@@ -149,7 +150,7 @@
             node.end(1, 0, Outcome.READ);
             node.end(1, 1, Outcome.RESET);
             assertThat(node.sends()).hasSize(2);
-            assertThat(node.of(Fail.class)).containsExactly(new Fail(1, EndReason.MAY_HAVE_RUN));
+            assertThat(node.actionsOf(Fail.class)).containsExactly(new Fail(1, EndReason.MAY_HAVE_RUN));
         }
     }
 }
--- a/src/test/java/maplerail/LogicTest.java
+++ b/src/test/java/maplerail/LogicTest.java
@@ -2,7 +2,7 @@
 
 import static maplerail.Node.member;
 import static maplerail.Node.reader;
-import static maplerail.Node.small;
+import static maplerail.Node.smallFleet;
 import static maplerail.Node.writer;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -39,118 +39,118 @@
 
     @Test
     void aPromptGoesToAReaderAndThenToAWriter() {
-        Node node = small();
+        Node node = smallFleet();
         node.arrive(1);
-        assertTrue(node.sent().engine() < 10);
-        assertEquals(6_000, node.sent().deadlineMs());
+        assertTrue(node.lastSend().engine() < 10);
+        assertEquals(6_000, node.lastSend().deadlineMs());
         node.end(1, 0, Outcome.READ);
-        assertTrue(node.sent().engine() > 10);
-        node.first(1, 1);
+        assertTrue(node.lastSend().engine() > 10);
+        node.firstToken(1, 1);
         assertTrue(node.end(1, 1, Outcome.SERVED).isEmpty());
-        assertEquals(0, node.answers(1));
+        assertEquals(0, node.finalAnswers(1));
     }
 
     @Test
     void aSessionReturnsToItsReader() {
-        Node node = small();
+        Node node = smallFleet();
         for (int session = 1; session <= 6; session++) {
             node.arrive(session, session, 0, 1_000, 5_000);
-            long reader = node.sent().engine();
+            long reader = node.lastSend().engine();
             node.serve(session);
             node.arrive(100 + session, session, 0, 1_500, 5_000);
-            assertEquals(reader, node.sent().engine());
+            assertEquals(reader, node.lastSend().engine());
             node.serve(100 + session);
         }
     }
 
     @Test
-    void nodesAgreeOnAHomeAndSpreadTheKeys() {
-        Set<Long> homes = java.util.stream.LongStream.rangeClosed(1, 20).mapToObj(prefix -> {
-            Node one = small();
-            Node two = small();
+    void nodesAgreeOnAnOwnerAndSpreadTheKeys() {
+        Set<Long> owners = java.util.stream.LongStream.rangeClosed(1, 20).mapToObj(prefix -> {
+            Node one = smallFleet();
+            Node two = smallFleet();
             one.arrive(1, 5, prefix, 1_000, 5_000);
             two.arrive(9, 6, prefix, 1_200, 5_000);
-            assertEquals(one.sent().engine(), two.sent().engine());
-            return one.sent().engine();
+            assertEquals(one.lastSend().engine(), two.lastSend().engine());
+            return one.lastSend().engine();
         }).collect(Collectors.toSet());
-        assertEquals(Set.of(1L, 2L, 3L), homes);
+        assertEquals(Set.of(1L, 2L, 3L), owners);
     }
 
-    /** A first arrival at a node that sees little is no sign of a hot beginning: every further home reads it anew. */
+    /** Guards against a first arrival at a node with few arrivals counting as a hot prefix: each further owner reads it again. */
     @ParameterizedTest
     @ValueSource(doubles = {600, 9_000})
-    void aRareBeginningHasOneHomeAmongNodesThatSeeLittle(double tokens) {
-        Set<Long> homes = new HashSet<>();
+    void aRarePrefixHasOneOwnerAmongNodesWithFewArrivals(double tokens) {
+        Set<Long> owners = new HashSet<>();
         for (int seed = 1; seed <= 40; seed++) {
             Node node = new Node();
             node.seed = seed;
-            node.routers = 100;
+            node.nodeCount = 100;
             node.start(
                     LongStream.rangeClosed(1, 17).mapToObj(i -> i < 17 ? reader(i) : writer(i)).toArray(Member[]::new));
             node.arrive(1, 1_000 + seed, 77, tokens, 5_000);
-            homes.add(node.sent().engine());
+            owners.add(node.lastSend().engine());
         }
-        assertEquals(1, homes.size(), "readers that read the beginning: " + homes);
+        assertEquals(1, owners.size(), "readers that read the prefix: " + owners);
     }
 
-    /** The matched reader's queue, seen by the oldest read there, refused requests that other readers would take. */
+    /** Guards against refusals because of the matched reader's queue while other readers could take the request. */
     @Test
-    void aReaderThatKeepsAReadWaitingGivesWayToOthers() {
+    void aReaderWithAWaitingReadIsReplacedByAnother() {
         Node node = new Node();
-        node.copies = false;
+        node.secondCopies = false;
         node.start(reader(1), reader(2), writer(11));
         node.arrive(1, 7, 0, 1_000, 5_000);
-        long home = node.sent().engine();
+        long firstReader = node.lastSend().engine();
         node.serve(1);
         node.arrive(2, 7, 0, 1_000, 60_000);
-        assertEquals(home, node.sent().engine());
-        node.now += 900;
+        assertEquals(firstReader, node.lastSend().engine());
+        node.nowMs += 900;
         node.arrive(3, 7, 0, 1_000, 5_000);
-        assertEquals(0, node.answers(3), "not refused");
-        assertNotEquals(home, node.sent().engine());
+        assertEquals(0, node.finalAnswers(3), "not refused");
+        assertNotEquals(firstReader, node.lastSend().engine());
     }
 
     @Test
-    void aSpentDeficitSendsTheClientElsewhere() {
-        Node node = small();
+    void aClientWithoutCreditIsSentToAnotherReader() {
+        Node node = smallFleet();
         node.arrive(1, 7, 0, 30_000, 60_000);
-        long home = node.sent().engine();
+        long firstReader = node.lastSend().engine();
         node.serve(1);
         node.arrive(2, 7, 0, 30_000, 60_000);
-        assertEquals(home, node.sent().engine(), "credit is left");
+        assertEquals(firstReader, node.lastSend().engine(), "credit is left");
         node.serve(2);
         node.arrive(3, 7, 0, 30_000, 60_000);
-        assertNotEquals(home, node.sent().engine(), "60,000 tokens and outputs are over the quantum");
+        assertNotEquals(firstReader, node.lastSend().engine(), "60,000 tokens and the outputs exceed the quantum");
     }
 
     @Test
-    void anEntryAgesOut() {
-        Node node = small();
+    void aLocalityEntryExpires() {
+        Node node = smallFleet();
         node.arrive(1, 7, 0, 1_000, 60_000);
-        long home = node.sent().engine();
+        long firstReader = node.lastSend().engine();
         node.end(1, 0, Outcome.ERROR);
-        long other = node.sent().engine();
+        long other = node.lastSend().engine();
         node.end(1, 1, Outcome.READ);
-        node.first(1, 2);
+        node.firstToken(1, 2);
         node.end(1, 2, Outcome.SERVED);
-        node.now += 10_000;
+        node.nowMs += 10_000;
         node.arrive(2, 7, 0, 1_000, 60_000);
-        assertEquals(other, node.sent().engine(), "the entry is believed");
+        assertEquals(other, node.lastSend().engine(), "the entry is still valid");
         node.serve(2);
-        node.now += 25_000;
+        node.nowMs += 25_000;
         node.arrive(3, 7, 0, 1_000, 60_000);
-        assertEquals(home, node.sent().engine(), "the entry is too old");
+        assertEquals(firstReader, node.lastSend().engine(), "the entry has expired");
     }
 
     @Test
-    void theWriterOfLowestProjectedMemoryIsTaken() {
-        Node node = small();
+    void theWriterWithTheLowestProjectedMemoryIsChosen() {
+        Node node = smallFleet();
         node.arrive(1);
         node.end(1, 0, Outcome.READ);
-        long first = node.sent().engine();
+        long first = node.lastSend().engine();
         node.arrive(2);
         node.end(2, 0, Outcome.READ);
-        assertNotEquals(first, node.sent().engine());
+        assertNotEquals(first, node.lastSend().engine());
     }
 
     @Test
@@ -160,22 +160,22 @@
                 new Member(11, State.READY, 0, 0, 3, 1, 1), new Member(12, State.READY, 0, 0, 4, 1, 1));
         for (int id = 1; id <= 20; id++) {
             node.arrive(id);
-            long reader = node.sent().engine();
+            long reader = node.lastSend().engine();
             node.end(id, 0, Outcome.READ);
-            assertEquals(reader == 1 ? 12 : 11, node.sent().engine());
-            node.first(id, 1);
+            assertEquals(reader == 1 ? 12 : 11, node.lastSend().engine());
+            node.firstToken(id, 1);
             node.end(id, 1, Outcome.SERVED);
         }
     }
 
-    /** Found at full size: 150 nodes that each hold one stream all took the lowest id of the reader's cell. */
+    /** Guards against herding: 150 nodes with one stream each all chose the lowest id in the reader's cell. */
     @Test
-    void manyNodesSpreadTheirWritesAndReadsOverAll() {
+    void manyNodesSpreadReadsAndWritesOverAllEngines() {
         java.util.Map<Long, Integer> sends = new java.util.TreeMap<>();
         for (int seed = 1; seed <= 300; seed++) {
             Node node = new Node();
             node.seed = seed;
-            node.routers = 300;
+            node.nodeCount = 300;
             node.start(reader(1), reader(2), reader(3), new Member(4, State.READY, 0, 0, 1, 1, 0), writer(11),
                     new Member(12, State.READY, 0, 0, 1, 1, 1), new Member(13, State.READY, 0, 0, 1, 1, 1),
                     new Member(14, State.READY, 0, 0, 1, 1, 1));
@@ -187,37 +187,39 @@
         assertTrue(sends.values().stream().allMatch(n -> n > 45 && n < 105), "75 each: " + sends);
     }
 
-    /** Found at full size: one home for a hot beginning was one reader for hundreds of nodes. */
+    /** Guards against a hot prefix with a single owner, which was one reader for hundreds of nodes. */
     @Test
-    void aHotBeginningGetsMoreHomesAndASessionKeepsOne() {
+    void aHotPrefixGetsMoreOwnersAndASessionKeepsOne() {
         java.util.Map<Long, Set<Long>> readers = new java.util.TreeMap<>();
         for (int seed = 1; seed <= 50; seed++) {
             Node node = new Node();
             node.seed = seed;
-            node.routers = 50;
+            node.nodeCount = 50;
             node.start(java.util.stream.LongStream.rangeClosed(1, 10).mapToObj(i -> i < 10 ? reader(i) : writer(i))
                     .toArray(Member[]::new));
-            for (int id = 1; id <= 60; id++, node.now += 1_000) {
+            for (int id = 1; id <= 60; id++, node.nowMs += 1_000) {
                 node.arrive(id, id % 2 == 0 ? 1_000 + id : 0, id % 2 == 0 ? 77 : 1_000L * seed + id, 1_000, 5_000);
                 if (id == 58) {
-                    readers.computeIfAbsent(58L + seed % 5, k -> new java.util.TreeSet<>()).add(node.sent().engine());
+                    readers.computeIfAbsent(58L + seed % 5, k -> new java.util.TreeSet<>())
+                            .add(node.lastSend().engine());
                 }
-                if (id % 2 == 0) readers.computeIfAbsent(0L, k -> new java.util.TreeSet<>()).add(node.sent().engine());
+                if (id % 2 == 0)
+                    readers.computeIfAbsent(0L, k -> new java.util.TreeSet<>()).add(node.lastSend().engine());
                 node.serve(id);
             }
         }
-        assertTrue(readers.get(0L).size() >= 5, "homes of half the arrivals: " + readers.get(0L));
+        assertTrue(readers.get(0L).size() >= 5, "owners of half the arrivals: " + readers.get(0L));
         assertTrue(readers.values().stream().skip(1).allMatch(s -> s.size() <= 3), "one session: " + readers);
     }
 
     @Test
-    void aNewcomerIsUsedThoughOthersHaveCreditLeft() {
-        Node node = small();
+    void aNewReaderIsUsedThoughOthersHaveCreditLeft() {
+        Node node = smallFleet();
         for (int id = 1; id <= 10; id++) {
             node.arrive(id, id, 0, 1_000, 5_000);
             node.serve(id);
         }
-        node.list(ListKind.CHANGES, reader(4));
+        node.reportList(ListKind.CHANGES, reader(4));
         for (int id = 11; id <= 60; id++) {
             node.arrive(id, id, 0, 1_000, 5_000);
             node.serve(id);
@@ -225,128 +227,128 @@
         assertTrue(node.sends().stream().filter(s -> s.engine() == 4).count() >= 5);
     }
 
-    // ---- No request lost ----
+    // ---- Every request gets a final answer ----
 
     @Test
-    void aSpentBudgetIsAnsweredAtOnce() {
-        Node node = small();
+    void aRequestWithoutTimeLeftIsAnsweredAtOnce() {
+        Node node = smallFleet();
         node.arrive(1, 0, 0, 1_000, 0);
-        assertEquals(1, node.answers(1));
+        assertEquals(1, node.finalAnswers(1));
         node.arrive(2, 0, 0, 1_000, Double.NaN);
-        assertEquals(1, node.answers(2));
+        assertEquals(1, node.finalAnswers(2));
         assertTrue(node.sends().isEmpty());
     }
 
     @Test
-    void silenceIsAnsweredOnceBeforeTheDeadline() {
-        Node node = small();
+    void aRequestAtASilentEngineIsAnsweredOnceBeforeItsDeadline() {
+        Node node = smallFleet();
         node.arrive(1);
-        node.until(6_000);
-        assertEquals(1, node.answers(1));
+        node.advanceTo(6_000);
+        assertEquals(1, node.finalAnswers(1));
         node.end(1, 0, Outcome.TIMEOUT);
-        node.on(new Router.Abandoned(1));
-        assertEquals(1, node.answers(1));
+        node.report(new Router.Abandoned(1));
+        assertEquals(1, node.finalAnswers(1));
     }
 
-    /** A read that is called off in a jam is read all the same: a hundred nodes must not save up ten of them each. */
+    /** A reader under overload reads cancelled prompts all the same, so 100 nodes must not save up ten cancellations each. */
     @Test
-    void aNodeThatSeesLittleCallsFewReadsOff() {
+    void aNodeWithFewArrivalsCancelsFewReads() {
         Node node = new Node();
-        node.copies = false;
-        node.routers = 100;
+        node.secondCopies = false;
+        node.nodeCount = 100;
         node.start(reader(1), reader(2), reader(3), reader(4), writer(11), writer(12));
         for (long id = 1; id <= 6; id++) {
             node.arrive(id, id, 0, 1_000, 60_000);
-            node.until(node.now + 1_300);
+            node.advanceTo(node.nowMs + 1_300);
         }
-        int cancelled = node.of(Cancel.class).size();
-        assertTrue(cancelled >= 1 && cancelled <= 2, "called off: " + cancelled);
+        int cancelled = node.actionsOf(Cancel.class).size();
+        assertTrue(cancelled >= 1 && cancelled <= 2, "cancelled: " + cancelled);
     }
 
     @Test
-    void anEmptyListIsAnsweredAtTheAimAtTheLatest() {
+    void aRequestIsAnsweredWithoutAnyEngine() {
         Node node = new Node().start();
         node.arrive(1);
-        node.until(6_000);
-        assertEquals(1, node.answers(1));
+        node.advanceTo(6_000);
+        assertEquals(1, node.finalAnswers(1));
     }
 
     @Test
-    void everyEngineOfARoleGone() {
-        Node node = small();
+    void aRequestIsAnsweredAndReleasedWhenAllWritersAreGone() {
+        Node node = smallFleet();
         node.arrive(1);
-        node.list(ListKind.CHANGES, new Member(11, State.GONE, 0, 0, 0, 1, 1),
+        node.reportList(ListKind.CHANGES, new Member(11, State.GONE, 0, 0, 0, 1, 1),
                 new Member(12, State.GONE, 0, 0, 0, 1, 1));
         node.end(1, 0, Outcome.READ);
-        node.until(node.now + 300);
-        assertEquals(1, node.answers(1));
-        assertEquals(1, node.of(Release.class).size());
+        node.advanceTo(node.nowMs + 300);
+        assertEquals(1, node.finalAnswers(1));
+        assertEquals(1, node.actionsOf(Release.class).size());
         assertEquals(1, node.sends().size());
     }
 
     @Test
-    void oneReaderAndOneWriterSurviveFailures() {
+    void aRequestIsServedAfterFailuresOfTheOnlyReaderAndWriter() {
         Node node = new Node().start(reader(1), writer(11));
         node.arrive(1);
         node.end(1, 0, Outcome.ERROR);
-        assertEquals(1, node.sent().engine());
+        assertEquals(1, node.lastSend().engine());
         node.end(1, 1, Outcome.READ);
         node.end(1, 2, Outcome.FULL);
-        assertEquals(11, node.sent().engine());
-        node.first(1, 3);
+        assertEquals(11, node.lastSend().engine());
+        node.firstToken(1, 3);
         node.end(1, 3, Outcome.SERVED);
-        assertEquals(0, node.answers(1));
+        assertEquals(0, node.finalAnswers(1));
     }
 
     @Test
     void theAttemptLimitEndsTheRequest() {
-        Node node = small();
+        Node node = smallFleet();
         node.arrive(1);
         for (int i = 0; i < 5; i++) {
             node.end(1, i, Outcome.UNREACHABLE);
         }
         assertEquals(5, node.sends().size());
-        assertEquals(1, node.answers(1));
+        assertEquals(1, node.finalAnswers(1));
     }
 
     @Test
-    void nothingIsDoneTwiceForLateDoubledOrUnknownEvents() {
-        Node node = small();
+    void lateDuplicateOrUnknownEventsHaveNoEffect() {
+        Node node = smallFleet();
         node.arrive(1);
         node.end(1, 0, Outcome.READ);
         assertTrue(node.end(1, 0, Outcome.READ).isEmpty());
         assertTrue(node.end(1, 4, Outcome.READ).isEmpty());
         assertTrue(node.end(8, 0, Outcome.READ).isEmpty());
-        assertTrue(node.first(8, 0).isEmpty());
-        assertTrue(node.on(new Router.Abandoned(8)).isEmpty());
-        assertTrue(node.on(new Router.Timer(8 << 12)).isEmpty());
-        node.first(1, 1);
-        node.first(1, 1);
+        assertTrue(node.firstToken(8, 0).isEmpty());
+        assertTrue(node.report(new Router.Abandoned(8)).isEmpty());
+        assertTrue(node.report(new Router.Timer(8 << 12)).isEmpty());
+        node.firstToken(1, 1);
+        node.firstToken(1, 1);
         node.end(1, 1, Outcome.SERVED);
         assertTrue(node.end(1, 1, Outcome.SERVED).isEmpty());
         assertEquals(2, node.sends().size());
     }
 
     @Test
-    void absurdFiguresPoisonNothing() {
-        Node node = small();
-        double[] odd = {Double.NaN, -5, 0, Double.POSITIVE_INFINITY, 1e30};
+    void absurdFiguresDoNotAffectLaterRequests() {
+        Node node = smallFleet();
+        double[] absurd = {Double.NaN, -5, 0, Double.POSITIVE_INFINITY, 1e30};
         long id = 1;
-        for (double value : odd) {
-            node.on(new Arrival(id, 0, 0, 3, value, 4, value, 5_000, value, value, false));
+        for (double value : absurd) {
+            node.report(new Arrival(id, 0, 0, 3, value, 4, value, 5_000, value, value, false));
             node.end(id, 0, Outcome.READ, value, value, false);
-            node.on(new Router.FirstToken(id, 1, 0, value));
+            node.report(new Router.FirstToken(id, 1, 0, value));
             node.end(id, 1, Outcome.SERVED);
             id++;
         }
         for (int i = 0; i < 20; i++) {
             node.arrive(id);
-            assertNotNull(node.sent(), "request " + id);
+            assertNotNull(node.lastSend(), "request " + id);
             node.serve(id++);
         }
     }
 
-    // ---- No effect twice ----
+    // ---- No duplicated effects ----
 
     @Test
     void anUnsafeRequestThatMayHaveRunIsFailedNotRepeated() {
@@ -356,18 +358,17 @@
         node.arrive(1);
         node.end(1, 0, Outcome.READ);
         node.end(1, 1, Outcome.FULL);
-        assertNotNull(node.sent(), "'full' proves that it never ran");
+        assertNotNull(node.lastSend(), "FULL proves that it had no effect");
         node.end(1, 2, Outcome.RESET);
-        node.until(7_000);
+        node.advanceTo(7_000);
         assertEquals(3, node.sends().size());
-        assertEquals(1, node.of(Fail.class).size());
-        assertTrue(node.of(Refuse.class).isEmpty());
+        assertEquals(1, node.actionsOf(Fail.class).size());
+        assertTrue(node.actionsOf(Refuse.class).isEmpty());
     }
 
-    /** Found on rough-1 and big-2: a second read of a repair order went out while the first had not ended. */
-    /** A writer that answers all with errors is quick, so it looks the least loaded, and costs one booking after another. */
+    /** A writer that answers everything with errors is fast and looks the least loaded: each unsafe request there fails. */
     @Test
-    void unsafeWorkPassesOverAWriterThatFailedLast() {
+    void unsafeWorkIsNotSentToAWriterThatFailedLast() {
         Node node = new Node();
         node.repeat = Repeat.UNSAFE;
         node.start(reader(1), writer(11), writer(12), writer(13));
@@ -377,17 +378,17 @@
         }
         node.arrive(7);
         node.end(7, 0, Outcome.READ);
-        long failed = node.sent().engine();
+        long failed = node.lastSend().engine();
         node.end(7, 1, Outcome.ERROR);
         for (int id = 8; id <= 20; id++) {
             node.arrive(id);
             node.end(id, 0, Outcome.READ);
-            assertNotEquals(failed, node.sent().engine());
-            node.first(id, 1);
+            assertNotEquals(failed, node.lastSend().engine());
+            node.firstToken(id, 1);
         }
     }
 
-    /** Nothing may follow an attempt that may have run: its client must not wait for the pin rule's limit to hear so. */
+    /** No attempt may follow one that may have run: the client must get its answer at once, not at the pin limit. */
     @Test
     void anUnsafeRequestThatAWriterFailedIsAnsweredAtOnceAndItsStateReleased() {
         Node node = new Node();
@@ -400,9 +401,9 @@
         assertTrue(answer.contains(new Release(1)));
     }
 
-    /** A booking in a writer's queue is late at the worst; called off it is lost, as nothing may follow it. */
+    /** Unsafe work in a writer's queue may be late; if it were cancelled it would be lost, as nothing may follow it. */
     @Test
-    void anUnsafeRequestThatWaitsAtAWriterIsNotCalledOffBeforeItsDeadline() {
+    void anUnsafeRequestThatWaitsAtAWriterIsNotCancelledBeforeItsDeadline() {
         Node node = new Node();
         node.repeat = Repeat.UNSAFE;
         node.start(reader(1), writer(11), writer(12));
@@ -412,50 +413,53 @@
         }
         node.arrive(6);
         node.end(6, 0, Outcome.READ);
-        node.until(node.now + 4_900);
-        assertTrue(node.of(Cancel.class).isEmpty());
-        node.first(6, 1);
+        node.advanceTo(node.nowMs + 4_900);
+        assertTrue(node.actionsOf(Cancel.class).isEmpty());
+        node.firstToken(6, 1);
         node.end(6, 1, Outcome.SERVED);
-        assertEquals(0, node.answers(6));
+        assertEquals(0, node.finalAnswers(6));
     }
 
-    /** An engine that says nothing for as long as an aim is left alone though its work is waited for. */
+    /** An engine that is silent for as long as the goal is ejected, though the work sent there is not cancelled. */
     @Test
-    void aWriterThatIsSilentOverUnsafeWorkGetsNoMoreOfIt() {
+    void aWriterThatIsSilentOnUnsafeWorkIsEjected() {
         Node node = new Node();
         node.repeat = Repeat.UNSAFE;
         node.start(reader(1), writer(11), writer(12));
         node.arrive(1);
         node.end(1, 0, Outcome.READ);
-        long mute = node.sent().engine();
+        long silentWriter = node.lastSend().engine();
         for (int id = 2; id <= 4; id++) {
             node.arrive(id);
             node.end(id, 0, Outcome.READ);
-            if (node.sent().engine() != mute) node.first(id, 1);
+            if (node.lastSend().engine() != silentWriter) node.firstToken(id, 1);
         }
-        assertTrue(node.sends().stream().filter(s -> s.engine() == mute).count() > 1);
-        node.until(node.now + 2_000);
-        assertTrue(node.of(Router.Log.class).stream().anyMatch(l -> l.text().contains(Long.toHexString(mute))));
+        assertTrue(node.sends().stream().filter(s -> s.engine() == silentWriter).count() > 1);
+        node.advanceTo(node.nowMs + 2_000);
+        assertTrue(node.actionsOf(Router.Log.class).stream()
+                .anyMatch(l -> l.text().contains(Long.toHexString(silentWriter))));
     }
 
+    /** Guards against a second read of an unsafe request while the first is in flight. */
     @Test
-    void anUnsafeReadIsNeverCopiedWhileItIsOut() {
+    void anUnsafeReadIsNeverCopiedWhileItIsInFlight() {
         Node node = new Node();
         node.repeat = Repeat.UNSAFE;
         node.start(reader(1), reader(2), writer(11));
         node.arrive(1);
-        node.until(4_000);
-        assertEquals(1, node.sends().size(), "no proof yet that the first never ran");
-        assertEquals(List.of(new Cancel(1, 0)), node.of(Cancel.class));
+        node.advanceTo(4_000);
+        assertEquals(1, node.sends().size(), "no proof yet that the first had no effect");
+        assertEquals(List.of(new Cancel(1, 0)), node.actionsOf(Cancel.class));
         node.end(1, 0, Outcome.CANCELLED);
         assertEquals(2, node.sends().size(), "a read that has ended had no effect");
-        node.until(7_000);
-        assertEquals(1, node.of(Fail.class).size(), "the second is out: no word that a repeat does no harm");
-        assertTrue(node.of(Refuse.class).isEmpty());
+        node.advanceTo(7_000);
+        assertEquals(1, node.actionsOf(Fail.class).size(),
+                "the second is in flight: no promise that a retry is harmless");
+        assertTrue(node.actionsOf(Refuse.class).isEmpty());
     }
 
     @Test
-    void aKeyedRequestStaysWithItsGroupAndWindow() {
+    void aKeyedRequestStaysWithinItsScopeAndWindow() {
         Node node = new Node();
         node.repeat = Repeat.KEYED;
         node.scope = Scope.CELL;
@@ -466,14 +470,14 @@
         node.end(1, 1, Outcome.RESET);
         node.end(1, 2, Outcome.RESET);
         assertFalse(node.sends().stream().anyMatch(s -> s.engine() == 13));
-        node.now += 2_500;
+        node.nowMs += 2_500;
         node.end(1, 3, Outcome.RESET);
-        assertNull(node.sent(), "the window is over");
-        node.until(7_000);
-        assertEquals(1, node.of(Fail.class).size());
+        assertNull(node.lastSend(), "the window is over");
+        node.advanceTo(7_000);
+        assertEquals(1, node.actionsOf(Fail.class).size());
     }
 
-    /** The repeat may have to wait for a connection, and a client that is told to come again comes after that. */
+    /** A repeat may have to wait for a connection, and a client that is refused retries after that. */
     @Test
     void aKeyedRequestIsNeitherSentNorRefusedAfterItsWindow() {
         Node node = new Node();
@@ -482,81 +486,81 @@
         node.start(reader(1), writer(11), writer(12));
         node.arrive(1);
         node.end(1, 0, Outcome.READ);
-        assertEquals(Double.POSITIVE_INFINITY, node.sent().startByMs(), "the first has no window yet");
-        double windowEndMs = node.now + 2_000;
-        node.now += 100;
+        assertEquals(Double.POSITIVE_INFINITY, node.lastSend().startByMs(), "the first attempt has no window");
+        double windowEndMs = node.nowMs + 2_000;
+        node.nowMs += 100;
         node.end(1, 1, Outcome.RESET);
-        assertTrue(node.sent().startByMs() < windowEndMs && node.sent().startByMs() > windowEndMs - 50);
-        node.now = windowEndMs + 1;
+        assertTrue(node.lastSend().startByMs() < windowEndMs && node.lastSend().startByMs() > windowEndMs - 50);
+        node.nowMs = windowEndMs + 1;
         node.end(1, 2, Outcome.RESET);
-        assertEquals(1, node.of(Fail.class).size(), "at once, as nothing more can be done");
-        assertTrue(node.of(Refuse.class).isEmpty());
+        assertEquals(1, node.actionsOf(Fail.class).size(), "at once, as no attempt may follow");
+        assertTrue(node.actionsOf(Refuse.class).isEmpty());
     }
 
     @Test
-    void aKeyedRequestIsRefusedInsideItsWindowWithTimeToComeBack() {
+    void aKeyedRequestIsRefusedInsideItsWindowWithTimeToRetry() {
         Node node = new Node();
         node.repeat = Repeat.KEYED;
         node.retryAfter = true;
         node.start(reader(1), writer(11));
         node.arrive(1, 0, 0, 1_000, 1_500);
         node.end(1, 0, Outcome.READ);
-        double windowEndMs = node.now + 2_000;
-        node.until(2_600);
-        assertEquals(1, node.of(Refuse.class).size());
-        assertTrue(node.now + node.of(Refuse.class).get(0).retryAfterMs() < windowEndMs);
+        double windowEndMs = node.nowMs + 2_000;
+        node.advanceTo(2_600);
+        assertEquals(1, node.actionsOf(Refuse.class).size());
+        assertTrue(node.nowMs + node.actionsOf(Refuse.class).get(0).retryAfterMs() < windowEndMs);
     }
 
     @Test
-    void twoAttemptsAtOnceNeedLeave() {
+    void noSecondAttemptIsSentWithoutPermission() {
         Node node = new Node();
-        node.copies = false;
+        node.secondCopies = false;
         node.cancel = false;
         node.start(reader(1), reader(2), writer(11));
         node.arrive(1);
-        node.until(5_900);
+        node.advanceTo(5_900);
         assertEquals(1, node.sends().size());
-        assertTrue(node.of(Cancel.class).isEmpty());
+        assertTrue(node.actionsOf(Cancel.class).isEmpty());
     }
 
     @Test
-    void aMixedEngineReadsAndAnswersInPlace() {
+    void anEngineOfBothRolesServesARequestInOneAttempt() {
         Node node = new Node().start(member(21, 2), member(22, 2));
         node.arrive(1);
-        assertTrue(node.sent().engine() > 20);
-        node.first(1, 0);
+        assertTrue(node.lastSend().engine() > 20);
+        node.firstToken(1, 0);
         node.end(1, 0, Outcome.SERVED);
         assertEquals(1, node.sends().size());
     }
 
     @Test
-    void aMixedEnginesRepeatKeepsTheRules() {
+    void unsafeWorkThatFailedAtAnEngineOfBothRolesIsNotRepeated() {
         Node node = new Node();
         node.repeat = Repeat.UNSAFE;
         node.start(member(21, 2), member(22, 2));
         node.arrive(1);
         node.end(1, 0, Outcome.ERROR);
-        node.until(7_000);
+        node.advanceTo(7_000);
         assertEquals(1, node.sends().size());
-        assertEquals(1, node.of(Fail.class).size());
+        assertEquals(1, node.actionsOf(Fail.class).size());
     }
 
-    /** Found with tool calls: one that took long was called off, and one that broke was answered at the deadline. */
+    /** Guards against cancelled long tool calls and against broken ones that were answered only at the deadline. */
     @Test
-    void unsafeWorkAtAMixedEngineIsWaitedForAndFailedAtOnceWhenItBreaks() {
+    void unsafeWorkAtAnEngineOfBothRolesIsNotCancelledAndFailsAtOnceOnAReset() {
         Node node = new Node();
         node.repeat = Repeat.UNSAFE;
         node.start(member(21, 2), member(22, 2));
         node.arrive(1);
-        node.until(4_000);
-        assertTrue(node.of(Cancel.class).isEmpty());
+        node.advanceTo(4_000);
+        assertTrue(node.actionsOf(Cancel.class).isEmpty());
         node.end(1, 0, Outcome.RESET);
-        assertEquals(1, node.of(Fail.class).size());
+        assertEquals(1, node.actionsOf(Fail.class).size());
         assertEquals(1, node.sends().size());
     }
 
     @Test
-    void writersReadInPlaceWhereNoReaderIsLeft() {
+    void writersReadWhereNoReaderIsLeft() {
         Node node = new Node();
         node.writersRead = true;
         node.start(writer(11), writer(12));
@@ -567,11 +571,11 @@
     // ---- Drains, cold engines, pins ----
 
     @Test
-    void aDrainingEngineGetsNothingNew() {
-        Node node = small();
-        node.list(ListKind.CHANGES, new Member(1, State.DRAINING, 0, 0, 0, 1, 0));
-        node.list(ListKind.WHOLE, reader(1), reader(3), writer(11));
-        node.list(ListKind.CHANGES, new Member(1, State.DRAINING, 0, 0, 0, 1, 0));
+    void aDrainingEngineGetsNoNewWork() {
+        Node node = smallFleet();
+        node.reportList(ListKind.CHANGES, new Member(1, State.DRAINING, 0, 0, 0, 1, 0));
+        node.reportList(ListKind.WHOLE, reader(1), reader(3), writer(11));
+        node.reportList(ListKind.CHANGES, new Member(1, State.DRAINING, 0, 0, 0, 1, 0));
         for (int id = 1; id < 20; id++) {
             node.arrive(id, id, 0, 500, 5_000);
             node.serve(id);
@@ -580,85 +584,85 @@
     }
 
     @Test
-    void aStateHeldByAReadThatEndsAfterItsRequestIsReleased() {
-        Node node = small();
+    void aStateIsReleasedWhenItsReadEndsAfterTheRequest() {
+        Node node = smallFleet();
         node.arrive(1);
-        node.on(new Router.Abandoned(1));
+        node.report(new Router.Abandoned(1));
         node.end(1, 0, Outcome.READ);
-        assertEquals(List.of(new Release(1)), node.last);
+        assertEquals(List.of(new Release(1)), node.lastActions);
     }
 
     @Test
     void aStateIsReleasedAgainWhenTheAttemptThatWaitedForItEnds() {
-        Node node = small();
+        Node node = smallFleet();
         node.arrive(1);
         node.end(1, 0, Outcome.READ);
-        node.until(6_000);
-        assertEquals(1, node.answers(1));
+        node.advanceTo(6_000);
+        assertEquals(1, node.finalAnswers(1));
         assertTrue(node.end(1, node.sends().size() - 1, Outcome.CANCELLED).contains(new Release(1)));
     }
 
-    // ---- Lists that must be asked for; bounded memory ----
+    // ---- Subscriptions, clients that leave, bounded tables ----
 
     @Test
-    void aListThatMustBeAskedForIsAskedForAgain() {
+    void aFailedSubscriptionIsRetriedOnce() {
         Node node = new Node();
-        node.ask = true;
+        node.mustSubscribe = true;
         node.start(reader(1), writer(11));
-        assertEquals(1, node.of(Subscribe.class).size());
-        node.list(ListKind.FAILED);
-        node.list(ListKind.FAILED);
-        node.until(node.now + 2_000);
-        assertEquals(2, node.of(Subscribe.class).size());
+        assertEquals(1, node.actionsOf(Subscribe.class).size());
+        node.reportList(ListKind.FAILED);
+        node.reportList(ListKind.FAILED);
+        node.advanceTo(node.nowMs + 2_000);
+        assertEquals(2, node.actionsOf(Subscribe.class).size());
         node.arrive(1);
-        assertNotNull(node.sent(), "the old list stands");
+        assertNotNull(node.lastSend(), "the old list stays in use");
     }
 
-    /** Wherever a request stands when its client leaves, nothing is sent for it any more. */
+    /** At whatever stage a request is when its client leaves, nothing more is sent for it. */
     @ParameterizedTest
     @ValueSource(strings = {"waits for a reader", "reads", "waits for a writer", "writes", "waits to retry"})
-    void nothingIsSentForAClientThatHasGone(String stage) {
+    void nothingIsSentForAClientThatHasLeft(String stage) {
         Node node = new Node();
-        node.copies = false;
+        node.secondCopies = false;
         node.start(stage.equals("waits for a reader") ? new Member[0] : new Member[] {reader(1)});
-        if (stage.equals("writes")) node.list(ListKind.CHANGES, writer(11));
+        if (stage.equals("writes")) node.reportList(ListKind.CHANGES, writer(11));
         node.arrive(1);
         if (stage.equals("waits to retry")) {
-            node.list(ListKind.CHANGES, new Member(1, State.DRAINING, 0, 0, 0, 1, 0));
+            node.reportList(ListKind.CHANGES, new Member(1, State.DRAINING, 0, 0, 0, 1, 0));
             node.end(1, 0, Outcome.ERROR);
         }
         if (stage.equals("waits for a writer") || stage.equals("writes")) node.end(1, 0, Outcome.READ);
         int sends = node.sends().size();
         assertEquals(stage.equals("writes") ? 2 : stage.equals("waits for a reader") ? 0 : 1, sends);
-        node.on(new Router.Abandoned(1));
+        node.report(new Router.Abandoned(1));
         boolean held = stage.equals("waits for a writer") || stage.equals("writes");
-        assertEquals(held, !node.of(Release.class).isEmpty(), "what is held is let go at once");
-        node.list(ListKind.WHOLE, reader(1), reader(2), writer(11), writer(12));
+        assertEquals(held, !node.actionsOf(Release.class).isEmpty(), "a held state is released at once");
+        node.reportList(ListKind.WHOLE, reader(1), reader(2), writer(11), writer(12));
         if (stage.equals("reads")) node.end(1, 0, Outcome.CANCELLED);
         if (stage.equals("writes")) node.end(1, 1, Outcome.CANCELLED);
-        node.until(node.now + 10_000);
+        node.advanceTo(node.nowMs + 10_000);
         assertEquals(sends, node.sends().size());
-        assertEquals(0, node.answers(1));
+        assertEquals(0, node.finalAnswers(1));
     }
 
     @Test
-    void thousandsOfRequestsLeaveNothingBehind() {
-        Node node = small();
+    void tablesStayBoundedOverManyRequests() {
+        Node node = smallFleet();
         for (int id = 1; id <= 50_000; id++) {
             node.arrive(id, id, id % 97, 1_000, 5_000);
-            if (node.sent() != null && id % 5 == 0) {
-                node.on(new Router.Abandoned(id));
+            if (node.lastSend() != null && id % 5 == 0) {
+                node.report(new Router.Abandoned(id));
                 node.end(id, 0, Outcome.READ);
-            } else if (node.sent() != null) {
+            } else if (node.lastSend() != null) {
                 node.serve(id);
             }
-            node.all.clear();
-            node.now += 10;
+            node.actions.clear();
+            node.nowMs += 10;
         }
-        node.now += 60_000;
+        node.nowMs += 60_000;
         for (int id = 1; id <= 50_000; id += 1_000) {
             assertTrue(node.end(id, 1, Outcome.RESET).isEmpty());
         }
-        assertTrue(node.tableSizes() < 70_000, "entries " + node.tableSizes());
+        assertTrue(node.tableEntries() < 70_000, "entries " + node.tableEntries());
     }
 }
--- a/src/test/java/maplerail/Node.java
+++ b/src/test/java/maplerail/Node.java
@@ -22,39 +22,42 @@
 import maplerail.Router.State;
 import maplerail.Router.Tenant;
 
-/** A node under test: a module, a clock that the test moves, and what the module asked for. */
+/** A node under test: a decision module, a clock that the test advances, and the actions of the module. */
 final class Node {
-    /** Settings that a test changes before it starts the module. */
+    /** Settings that a test may change before it starts the module. */
     Repeat repeat = Repeat.PURE;
     Scope scope = Scope.ALL;
     boolean cancel = true;
-    boolean copies = true;
-    boolean ask;
+    boolean secondCopies = true;
+    boolean mustSubscribe;
     boolean writersRead;
     boolean retryAfter;
-    double overShareWorth = 1;
+    double overSharePriorityFactor = 1;
     long seed = 1;
-    int routers = 1;
+    int nodeCount = 1;
     List<Kind> kinds = List.of(new Kind(Role.READ, 200_000), new Kind(Role.WRITE, 150_000), new Kind(Role.BOTH, 1e5));
     List<Tenant> tenants = List.of();
 
-    double now = 1_000;
-    final List<Action> all = new ArrayList<>();
-    List<Action> last = List.of();
+    double nowMs = 1_000;
+    /** Actions of all steps, without the timers that have fired. */
+    final List<Action> actions = new ArrayList<>();
+    /** Actions of the last step. */
+    List<Action> lastActions = List.of();
     private Logic logic;
 
     Node start(Member... members) {
-        RequestClass cheap = new RequestClass(1_000, 0.04, 5_000, 60, 1, 0.1, repeat, scope, 2_000);
-        RequestClass dear = new RequestClass(2_500, 0.04, 12_000, 80, 3, 0.3, repeat, scope, 2_000);
-        logic = new Logic(new Settings(seed, routers, 0, 2, ask, overShareWorth, List.of(cheap, dear), tenants, kinds,
-                new Limits(5, cancel, copies, retryAfter, 1_000, writersRead),
+        RequestClass lowPriority = new RequestClass(1_000, 0.04, 5_000, 60, 1, 0.1, repeat, scope, 2_000);
+        RequestClass highPriority = new RequestClass(2_500, 0.04, 12_000, 80, 3, 0.3, repeat, scope, 2_000);
+        logic = new Logic(new Settings(seed, nodeCount, 0, 2, mustSubscribe, overSharePriorityFactor,
+                List.of(lowPriority, highPriority), tenants, kinds,
+                new Limits(5, cancel, secondCopies, retryAfter, 1_000, writersRead),
                 new Rules(8, 300, 0.3, 2.5, 3_000, 10_000, 10_000)));
-        list(ListKind.REMEMBERED, members);
+        reportList(ListKind.REMEMBERED, members);
         return this;
     }
 
     /** A node with three readers and two writers. */
-    static Node small() {
+    static Node smallFleet() {
         return new Node().start(reader(1), reader(2), reader(3), writer(11), writer(12));
     }
 
@@ -70,80 +73,85 @@
         return member(engine, 1);
     }
 
-    void list(ListKind kind, Member... members) {
-        on(new Members(kind, 1, List.of(members)));
+    void reportList(ListKind kind, Member... members) {
+        report(new Members(kind, 1, List.of(members)));
     }
 
-    List<Action> on(Event event) {
-        last = logic.step(now, List.of(event));
-        all.addAll(last);
-        return last;
+    List<Action> report(Event event) {
+        lastActions = logic.step(nowMs, List.of(event));
+        actions.addAll(lastActions);
+        return lastActions;
     }
 
     List<Action> arrive(long id) {
         return arrive(id, 0, 0, 1_000, 5_000);
     }
 
-    List<Action> arrive(long id, long session, long prefix, double tokens, double budget) {
-        return on(new Arrival(id, 0, 0, session, tokens, prefix, prefix == 0 ? 0 : tokens / 2, budget, 200, 0, false));
+    List<Action> arrive(long id, long session, long prefix, double tokens, double budgetMs) {
+        return report(
+                new Arrival(id, 0, 0, session, tokens, prefix, prefix == 0 ? 0 : tokens / 2, budgetMs, 200, 0, false));
     }
 
     List<Action> end(long id, int attempt, Outcome outcome) {
         return end(id, attempt, outcome, 40, 0, outcome == Outcome.SERVED);
     }
 
-    List<Action> end(long id, int attempt, Outcome outcome, double spent, double kept, boolean closed) {
-        return on(new Router.Ended(id, attempt, 0, outcome, spent, kept, closed, new Load(Double.NaN)));
+    List<Action> end(long id, int attempt, Outcome outcome, double elapsedMs, double cachedTokens,
+            boolean requestClosed) {
+        return report(new Router.Ended(id, attempt, 0, outcome, elapsedMs, cachedTokens, requestClosed,
+                new Load(Double.NaN)));
     }
 
-    List<Action> first(long id, int attempt) {
-        return on(new Router.FirstToken(id, attempt, 0, 30));
+    List<Action> firstToken(long id, int attempt) {
+        return report(new Router.FirstToken(id, attempt, 0, 30));
     }
 
-    /** Moves the clock, firing the timers that come due on the way. */
-    void until(double time) {
+    /** Advances the clock, firing the timers that become due. */
+    void advanceTo(double timeMs) {
         while (true) {
-            double from = now;
-            Router.SetTimer due = all.stream().filter(a -> a instanceof Router.SetTimer).map(a -> (Router.SetTimer) a)
-                    .filter(t -> t.atMs() <= time).min(java.util.Comparator.comparingDouble(Router.SetTimer::atMs))
+            double fromMs = nowMs;
+            Router.SetTimer due = actions.stream().filter(a -> a instanceof Router.SetTimer)
+                    .map(a -> (Router.SetTimer) a)
+                    .filter(t -> t.atMs() <= timeMs).min(java.util.Comparator.comparingDouble(Router.SetTimer::atMs))
                     .orElse(null);
             if (due == null) {
                 break;
             }
-            all.remove(due);
-            now = Math.max(from, due.atMs());
-            on(new Router.Timer(due.token()));
+            actions.remove(due);
+            nowMs = Math.max(fromMs, due.atMs());
+            report(new Router.Timer(due.token()));
         }
-        now = time;
+        nowMs = timeMs;
     }
 
-    Send sent() {
-        return last.stream().filter(a -> a instanceof Send).map(a -> (Send) a).findFirst().orElse(null);
+    /** The first send of the last step, or null. */
+    Send lastSend() {
+        return lastActions.stream().filter(a -> a instanceof Send).map(a -> (Send) a).findFirst().orElse(null);
     }
 
     List<Send> sends() {
-        return of(Send.class);
+        return actionsOf(Send.class);
     }
 
-    <T extends Action> List<T> of(Class<T> type) {
-        return all.stream().filter(type::isInstance).map(type::cast).toList();
+    <T extends Action> List<T> actionsOf(Class<T> type) {
+        return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    /** Final answers that the module gave to a request. */
-    long answers(long id) {
-        return all.stream().filter(a -> a instanceof Router.Refuse r && r.id() == id
+    /** Number of final answers that the module gave to a request. */
+    long finalAnswers(long id) {
+        return actions.stream().filter(a -> a instanceof Router.Refuse r && r.id() == id
                 || a instanceof Router.Fail f && f.id() == id).count();
     }
 
-    /** Plays a request to its end at whatever engines the module picks. */
+    /** Serves a request at the engines that the module chooses. */
     void serve(long id) {
         end(id, 0, Outcome.READ);
-        first(id, 1);
+        firstToken(id, 1);
         end(id, 1, Outcome.SERVED);
     }
 
-    /** Entries in the module's tables. */
-    int tableSizes() {
+    /** Number of entries in the module's tables. */
+    int tableEntries() {
         return logic.tableEntries();
     }
 }
--- a/src/test/java/maplerail/QuickStartTest.java
+++ b/src/test/java/maplerail/QuickStartTest.java
@@ -20,10 +20,10 @@
 import maplerail.Router.Settings;
 import maplerail.Router.State;
 
-/** The README's example. */
+/** The example in the README. */
 class QuickStartTest {
     @Test
-    void theExampleDecides() {
+    void theExampleSendsAPromptToTheReader() {
         Settings settings = new Settings(42, 1, 0, 2, false, 1,
                 List.of(new RequestClass(1_000, 0.04, 5_000, 60, 1, 0.1, Repeat.PURE, Scope.ALL, 0)),
                 List.of(), List.of(new Kind(Role.READ, 200_000), new Kind(Role.WRITE, 150_000)),
--- a/src/test/java/maplerail/SlowStartTest.java
+++ b/src/test/java/maplerail/SlowStartTest.java
@@ -18,17 +18,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What engines in slow start get from a whole fleet of gateways: enough to be of use, never more than they bear. */
+/** The load on engines in slow start from a whole fleet of gateways: enough to be useful, within their budget. */
 class SlowStartTest {
     private static final double START_MS = 100_000;
     private static final double REPLACED_MS = 120_000;
-    /** As the settings of {@link Node} have them. */
+    /** These as in the settings of {@link Node}. */
     private static final double START_CAPACITY = 0.3;
     private static final double WARM_AFTER_MS = 10_000;
     private static final double TIP_MULTIPLE = 2.5;
     private static final double TIP_WINDOW_MS = 3_000;
 
-    /** Reads that were sent to an engine that started at {@link #REPLACED_MS}, and when. */
+    /** A read that was sent to an engine that started at {@link #REPLACED_MS}. */
     private record ColdRead(long engine, double atMs) {}
 
     private static Member started(long engine) {
@@ -44,16 +44,16 @@
     }
 
     /**
-     * Plays a fleet whose gateways together get a request each {@code everyMs}, served at once. At
-     * {@link #REPLACED_MS} all but {@code kept} of its readers are replaced by cold ones.
+     * Simulates a fleet whose gateways together get a request every {@code everyMs}, served at once. At
+     * {@link #REPLACED_MS}, all but {@code warmLeft} of its readers are replaced by cold ones.
      */
-    private static List<ColdRead> play(int gateways, int readers, int kept, double everyMs, double untilMs) {
+    private static List<ColdRead> simulate(int gateways, int readers, int warmLeft, double everyMs, double untilMs) {
         List<Node> fleet = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
             Node node = new Node();
             node.seed = i + 1;
-            node.routers = gateways;
-            node.now = START_MS;
+            node.nodeCount = gateways;
+            node.nowMs = START_MS;
             fleet.add(node.start(engines(readers, 0)));
         }
         List<ColdRead> coldReads = new ArrayList<>();
@@ -64,14 +64,14 @@
             if (now >= REPLACED_MS && !replaced) {
                 replaced = true;
                 for (Node node : fleet) {
-                    node.now = REPLACED_MS;
-                    node.list(ListKind.WHOLE, engines(kept, readers - kept));
+                    node.nowMs = REPLACED_MS;
+                    node.reportList(ListKind.WHOLE, engines(warmLeft, readers - warmLeft));
                 }
             }
             Node node = fleet.get(random.nextInt(gateways));
-            node.now = now;
+            node.nowMs = now;
             node.arrive(++id);
-            Send read = node.sent();
+            Send read = node.lastSend();
             if (read == null) continue;
             if (read.engine() > 100) coldReads.add(new ColdRead(read.engine(), now));
             node.serve(id);
@@ -80,34 +80,34 @@
     }
 
     /**
-     * Found on a large day on which six in ten engines were replaced: newcomers stood idle while the few that were
-     * left drowned, as each gateway gave them a share of what warm engines had got from it before.
+     * Guards against cold engines that stay idle while the few warm ones are overloaded. It happened when six in ten
+     * engines were replaced, as each gateway gave the cold ones a share of what it had sent to warm engines before.
      */
     @ParameterizedTest
     @ValueSource(ints = {3, 30, 100})
-    void newcomersRelieveTheFewThatAreLeft(int gateways) {
+    void coldEnginesRelieveTheFewWarmOnes(int gateways) {
         double everyMs = 12.5;
-        List<ColdRead> cold = play(gateways, 17, 7, everyMs, REPLACED_MS + 6_000);
+        List<ColdRead> cold = simulate(gateways, 17, 7, everyMs, REPLACED_MS + 6_000);
         double late = cold.stream().filter(read -> read.atMs() >= REPLACED_MS + 2_000).count();
         double share = late / (4_000 / everyMs);
-        // Ten newcomers at 0.58 of their capacity on average, beside seven warm ones: 0.45 of what all carry.
-        assertTrue(share > 0.3 && share < 0.6, "share of the reads that went to newcomers: " + share);
+        // Ten cold engines at 0.58 of their capacity on average, beside seven warm ones: 0.45 of the total capacity.
+        assertTrue(share > 0.3 && share < 0.6, "share of the reads that went to cold engines: " + share);
     }
 
     /**
-     * In any window an engine that starts bears the rules' multiple of its present capacity, a budget of N calls, and
-     * for chance twice the root of N and two more; three times the root and three more where N is under 30.
+     * In any window, the budget of a cold engine is the rules' multiple of its current capacity, N calls. For chance,
+     * twice the root of N and two more are allowed; three times the root and three more where N is under 30.
      */
     @ParameterizedTest
     @CsvSource({"1,1,4", "1,3,4", "1,30,4", "1,100,4", "10,1,4", "10,3,4", "10,30,4", "10,100,4", "29,1,4", "29,3,4",
             "29,30,4", "29,100,4", "30,1,4", "30,3,4", "30,30,4", "30,100,4", "100,1,4", "100,3,4", "100,30,4",
             "100,100,4", "1,100,0", "10,3,0", "10,100,0", "30,1,0", "30,30,0", "100,3,0", "100,100,0", "10,1,2",
             "30,100,2"})
-    void theSumOfAllGatewaysStaysWithinTheBudget(int calls, int gateways, int kept) {
+    void theReadsOfAllGatewaysStayWithinTheBudget(int calls, int gateways, int warmLeft) {
         int readers = 5;
         double capacityPerMs = calls / (TIP_MULTIPLE * START_CAPACITY * TIP_WINDOW_MS);
         double everyMs = 1 / (0.9 * readers * capacityPerMs);
-        List<ColdRead> cold = play(gateways, readers, kept, everyMs, REPLACED_MS + 14_000);
+        List<ColdRead> cold = simulate(gateways, readers, warmLeft, everyMs, REPLACED_MS + 14_000);
         for (ColdRead first : cold) {
             double age = (first.atMs() - REPLACED_MS) / WARM_AFTER_MS;
             double present = Math.min(1, START_CAPACITY + (1 - START_CAPACITY) * age);
@@ -117,17 +117,17 @@
                     && read.atMs() >= first.atMs() && read.atMs() < first.atMs() + TIP_WINDOW_MS).count();
             assertTrue(within <= budget + chance, within + " reads of " + budget + " at " + first);
         }
-        assertTrue(gateways * calls < 100 || !cold.isEmpty(), "newcomers are used");
+        assertTrue(gateways * calls < 100 || !cold.isEmpty(), "cold engines are used");
     }
 
     @Test
-    void aColdEngineGetsThisNodesShareOnly() {
+    void aColdEngineGetsOnlyThisNodesShare() {
         Node node = new Node();
-        node.routers = 2;
-        node.now = 100_000;
+        node.nodeCount = 2;
+        node.nowMs = 100_000;
         node.start(reader(1), reader(2), writer(11), new Member(12, State.READY, 99_000, 0, 0, 1, 1));
         for (int id = 1; id <= 80; id++) {
-            node.now += 50;
+            node.nowMs += 50;
             node.arrive(id, id, 0, 500, 5_000);
             node.serve(id);
         }
@@ -137,19 +137,19 @@
     }
 
     /**
-     * Newcomers that got their first moment's share until they were warm idled while warm engines drowned. The node has
-     * run for a while before, as its own samples grow in its first seconds, too.
+     * Guards against cold engines that get their initial share until they are warm, and idle while warm engines are
+     * overloaded. The node runs for a while first, as its own samples grow in its first seconds too.
      */
     @Test
     void aColdEngineGetsMoreAsItWarms() {
         Node node = new Node();
-        node.now = 80_000;
+        node.nowMs = 80_000;
         node.start(reader(1), writer(11), writer(12), writer(13), writer(14));
         int first = 0;
         int last = 0;
         for (int id = 1; id <= 2_900; id++) {
-            node.now += 10;
-            if (id == 2_000) node.list(ListKind.CHANGES, new Member(15, State.READY, node.now, 0, 0, 1, 1));
+            node.nowMs += 10;
+            if (id == 2_000) node.reportList(ListKind.CHANGES, new Member(15, State.READY, node.nowMs, 0, 0, 1, 1));
             node.arrive(id);
             node.serve(id);
             boolean cold = node.sends().get(node.sends().size() - 1).engine() == 15;
@@ -161,40 +161,40 @@
     }
 
     @Test
-    void manyNodesTogetherDoNotPushANewcomerOver() {
+    void manyNodesTogetherDoNotOverloadAColdEngine() {
         int atOnce = 0;
         int inTenSeconds = 0;
         for (int seed = 1; seed <= 100; seed++) {
             Node node = new Node();
             node.seed = seed;
-            node.routers = 100;
-            node.now = 100_000;
+            node.nodeCount = 100;
+            node.nowMs = 100_000;
             node.start(reader(21), new Member(1, State.READY, 99_900, 0, 0, 1, 0), writer(31));
-            for (int id = 1; id <= 10; id++, node.now += 1_000) {
+            for (int id = 1; id <= 10; id++, node.nowMs += 1_000) {
                 node.arrive(id);
-                boolean cold = node.sent() != null && node.sent().engine() == 1;
+                boolean cold = node.lastSend() != null && node.lastSend().engine() == 1;
                 inTenSeconds += cold ? 1 : 0;
                 atOnce += cold && id == 1 ? 1 : 0;
-                if (node.sent() != null) node.serve(id);
+                if (node.lastSend() != null) node.serve(id);
             }
         }
-        assertTrue(atOnce <= 3, "sends to the newcomer at once: " + atOnce);
+        assertTrue(atOnce <= 3, "sends to the cold engine at once: " + atOnce);
         assertTrue(inTenSeconds < 450, "of 1,000 sends in all: " + inTenSeconds);
     }
 
-    /** What the engine bears in any window is the rule's multiple of its present capacity, and a little for chance. */
+    /** In any window the engine's budget is the rules' multiple of its current capacity, with an allowance for chance. */
     @ParameterizedTest
     @ValueSource(ints = {20, 30, 100})
-    void theSumOfAllNodesStaysWithinAColdEnginesBudgetAsItWarms(int nodes) {
-        double everyMs = 40; // over the fleet: warm engines, half used, take one each 400 ms
+    void theSendsOfAllNodesStayWithinAColdEnginesBudgetAsItWarms(int nodes) {
+        double everyMs = 40; // over the fleet: warm engines, half loaded, take one every 400 ms
         double windowMs = 3_000;
         List<Double> sent = new ArrayList<>();
         List<Node> fleet = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             Node node = new Node();
             node.seed = i + 1;
-            node.routers = nodes;
-            node.now = 95_000;
+            node.nodeCount = nodes;
+            node.nowMs = 95_000;
             node.start(reader(2), reader(3), reader(4), reader(5), reader(6), writer(31), writer(32));
             fleet.add(node);
         }
@@ -202,11 +202,11 @@
         double now = 95_000;
         for (long id = 1; now < 112_000; id++, now += everyMs) {
             Node node = fleet.get(random.nextInt(nodes));
-            node.now = now;
-            if (now >= 100_000) node.list(ListKind.CHANGES, new Member(1, State.READY, 100_000, 0, 0, 1, 0));
+            node.nowMs = now;
+            if (now >= 100_000) node.reportList(ListKind.CHANGES, new Member(1, State.READY, 100_000, 0, 0, 1, 0));
             node.arrive(id, 0, 0, 1_000, 5_000);
-            if (node.sent() != null && node.sent().engine() == 1) sent.add(now);
-            if (node.sent() != null) node.serve(id);
+            if (node.lastSend() != null && node.lastSend().engine() == 1) sent.add(now);
+            if (node.lastSend() != null) node.serve(id);
         }
         for (double from : sent) {
             // Twice what a warm peer gets is its capacity; the settings: 2.5 times, from 0.3 on, warm after 10 s.
@@ -218,31 +218,31 @@
         assertTrue(sent.size() > 3, "it is used as it warms: " + sent.size());
     }
 
-    /** Found by a hunt for broken rules: warm engines turned most away, and that was taken for their rate. */
+    /** Guards against a cold budget that counts the attempts which full warm engines turn away as answers. */
     @Test
-    void whatWarmEnginesTurnAwayDoesNotFillTheColdBudget() {
+    void fullAnswersOfWarmEnginesDoNotFillTheColdBudget() {
         Node node = new Node();
-        node.now = 100_000;
+        node.nowMs = 100_000;
         node.start(reader(2), reader(3), new Member(1, State.READY, 99_900, 0, 0, 1, 0), writer(31));
         int cold = 0;
-        for (int id = 1; id <= 250; id++, node.now += 20) {
+        for (int id = 1; id <= 250; id++, node.nowMs += 20) {
             node.arrive(id);
-            for (int attempt = 0; node.sent() != null; attempt++) {
-                cold += node.sent().engine() == 1 ? 1 : 0;
-                node.end(id, attempt, node.sent().engine() == 1 ? Outcome.ERROR : Outcome.FULL);
+            for (int attempt = 0; node.lastSend() != null; attempt++) {
+                cold += node.lastSend().engine() == 1 ? 1 : 0;
+                node.end(id, attempt, node.lastSend().engine() == 1 ? Outcome.ERROR : Outcome.FULL);
             }
         }
         assertTrue(cold <= 3, "sends to the cold reader, though no warm one took any: " + cold);
     }
 
     @Test
-    void aRestartedNodeIsCarefulAtOnce() {
+    void aRestartedNodeLimitsColdSendsAtOnce() {
         Node node = new Node();
-        node.routers = 3;
-        node.now = 100_000;
+        node.nodeCount = 3;
+        node.nowMs = 100_000;
         node.start(new Member(1, State.READY, 99_900, 0, 0, 1, 0), writer(11));
         for (int id = 1; id <= 20; id++) {
-            node.now += 20;
+            node.nowMs += 20;
             node.arrive(id);
         }
         assertTrue(node.sends().size() <= 1);
--- a/src/test/java/maplerail/policy/AnswerRatesTest.java
+++ b/src/test/java/maplerail/policy/AnswerRatesTest.java
@@ -20,22 +20,22 @@
     }
 
     @Test
-    void countsEachRoleForItself() {
+    void countsRolesSeparately() {
         rates.add(Role.READ, 0);
         assertThat(rates.perMs(Role.READ, 0)).isEqualTo(1 / FADE_MS);
         assertThat(rates.perMs(Role.WRITE, 0)).isZero();
     }
 
     @Test
-    void fadesToAPartOfEInTheFadingTime() {
+    void fadesToOneOverEInTheFadingTime() {
         rates.add(Role.WRITE, 500);
         assertThat(rates.perMs(Role.WRITE, 500 + FADE_MS)).isCloseTo(1 / FADE_MS / Math.E, within(1e-12));
     }
 
     @Test
     void approachesTheRateOfSteadyAnswers() {
-        double everyMs = 20;
-        for (double nowMs = 0; nowMs <= 20 * FADE_MS; nowMs += everyMs) rates.add(Role.BOTH, nowMs);
-        assertThat(rates.perMs(Role.BOTH, 20 * FADE_MS)).isCloseTo(1 / everyMs, within(0.01 / everyMs));
+        double intervalMs = 20;
+        for (double nowMs = 0; nowMs <= 20 * FADE_MS; nowMs += intervalMs) rates.add(Role.BOTH, nowMs);
+        assertThat(rates.perMs(Role.BOTH, 20 * FADE_MS)).isCloseTo(1 / intervalMs, within(0.01 / intervalMs));
     }
 }
--- a/src/test/java/maplerail/policy/BoundsTest.java
+++ b/src/test/java/maplerail/policy/BoundsTest.java
@@ -11,26 +11,26 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {Double.NaN, Double.NEGATIVE_INFINITY, -1, -0.0, 0})
-    void whatIsNoLengthIsZero(double value) {
+    void invalidLengthsBecomeZero(double value) {
         assertThat(Bounds.clamp(value)).isEqualTo(0.0);
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {1e7, 1e7 + 1, Double.MAX_VALUE, Double.POSITIVE_INFINITY})
-    void nothingIsLongerThanTheMost(double value) {
+    void lengthsAreLimitedToTheMaximum(double value) {
         assertThat(Bounds.clamp(value)).isEqualTo(Bounds.MAX);
     }
 
     @Test
-    void everyFigureOfAnArrivalIsBoundedAndAllElseIsKept() {
-        Arrival told = new Arrival(7, 1, 2, 3, Double.NaN, 4, -5, 1e300, Double.POSITIVE_INFINITY, 6, true);
-        assertThat(Bounds.clamp(told))
+    void allFiguresOfAnArrivalAreBoundedAndAllElseIsKept() {
+        Arrival arrival = new Arrival(7, 1, 2, 3, Double.NaN, 4, -5, 1e300, Double.POSITIVE_INFINITY, 6, true);
+        assertThat(Bounds.clamp(arrival))
                 .isEqualTo(new Arrival(7, 1, 2, 3, 0, 4, 0, Bounds.MAX, Bounds.MAX, 6, true));
     }
 
     @Test
-    void anArrivalWithinTheBoundsStaysAsItIs() {
-        Arrival told = new Arrival(7, 1, 2, -3, 1_000, -4, 500, 30_000, 250, 0, false);
-        assertThat(Bounds.clamp(told)).isEqualTo(told);
+    void anArrivalWithinTheBoundsIsUnchanged() {
+        Arrival arrival = new Arrival(7, 1, 2, -3, 1_000, -4, 500, 30_000, 250, 0, false);
+        assertThat(Bounds.clamp(arrival)).isEqualTo(arrival);
     }
 }
--- a/src/test/java/maplerail/policy/CellSharesTest.java
+++ b/src/test/java/maplerail/policy/CellSharesTest.java
@@ -15,7 +15,7 @@
 
     private final SplittableRandom random = new SplittableRandom(1);
 
-    /** Engines of which so many are in cell 0, in cell 1 and so on. */
+    /** Engines with the given numbers in cell 0, cell 1 and so on. */
     private static List<Member> engines(int... byCell) {
         List<Member> engines = new ArrayList<>();
         for (int cell = 0; cell < byCell.length; cell++) {
@@ -25,12 +25,13 @@
         return engines;
     }
 
-    private double shareOfDraws(CellShares shares, int own, int near) {
-        return IntStream.range(0, DRAWS).filter(i -> shares.nearCell(own, random) == near).count() / (double) DRAWS;
+    private double shareOfDraws(CellShares shares, int readerCell, int near) {
+        return IntStream.range(0, DRAWS).filter(i -> shares.nearCell(readerCell, random) == near).count()
+                / (double) DRAWS;
     }
 
     @Test
-    void theOwnCellIsNearWhereItHasItsShareOfWriters() {
+    void theReadersCellIsNearIfItHasItsShareOfWriters() {
         assertThat(shareOfDraws(new CellShares(engines(2, 2), engines(4, 4)), 0, 0)).isEqualTo(1);
         assertThat(shareOfDraws(new CellShares(engines(1, 3), engines(4, 4)), 0, 0)).isEqualTo(1);
     }
@@ -42,15 +43,15 @@
     }
 
     @Test
-    void aCellWithFewWritersIsNearAsOftenAsItsWritersCanBear() {
-        // Half the readers and a quarter of the writers: half of its reads are to go elsewhere.
+    void aCellWithFewWritersIsNearInProportionToItsWriters() {
+        // Half the readers and a quarter of the writers: half of its writes should go to other cells.
         CellShares shares = new CellShares(engines(2, 2), engines(2, 6));
         assertThat(shareOfDraws(shares, 0, 0)).isBetween(0.47, 0.53);
     }
 
     @Test
-    void otherCellsAreNearAsOftenAsTheirSpareShareSays() {
-        // Spare shares of 0.1 and 0.3.
+    void otherCellsAreNearInProportionToTheirSurplus() {
+        // Surpluses of 0.1 and 0.3.
         CellShares shares = new CellShares(engines(4, 3, 3), engines(0, 4, 6));
         assertThat(shareOfDraws(shares, 0, 1)).isBetween(0.22, 0.28);
     }
--- a/src/test/java/maplerail/policy/CircuitBreakerTest.java
+++ b/src/test/java/maplerail/policy/CircuitBreakerTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void admitsNothingWhileItIsOpenAndOneAttemptThen() {
+    void admitsNothingWhileOpenAndThenOneAttempt() {
         breaker.open(0, 100);
         assertThat(breaker.isOpen(1_099)).isTrue();
         assertThat(breaker.admits(0, 1_099)).isFalse();
@@ -28,39 +28,39 @@
     }
 
     @Test
-    void eachGoodTrialDoublesWhatMayBeOutAndTheFourthCloses() {
+    void eachSuccessDoublesTheLimitInFlightAndTheFourthCloses() {
         breaker.open(0, 0);
-        for (int mayBeOut = 1; mayBeOut <= 8; mayBeOut *= 2) {
-            assertThat(breaker.admits(mayBeOut - 1, 1_000)).isTrue();
-            assertThat(breaker.admits(mayBeOut, 1_000)).isFalse();
+        for (int limit = 1; limit <= 8; limit *= 2) {
+            assertThat(breaker.admits(limit - 1, 1_000)).isTrue();
+            assertThat(breaker.admits(limit, 1_000)).isFalse();
             breaker.onSuccess(1_000);
         }
         assertThat(breaker.isTripped()).isFalse();
     }
 
     @Test
-    void successesOfEarlierAttemptsDoNotCountWhileItIsOpen() {
+    void successesDoNotCountWhileOpen() {
         breaker.open(0, 0);
         for (int i = 0; i < 10; i++) breaker.onSuccess(999);
         assertThat(breaker.isTripped()).isTrue();
         assertThat(breaker.admits(1, 1_000)).isFalse();
     }
 
-    /** How long it stays open at the n-th time in a row, with the least that is asked for. */
+    /** Number of openings in a row, minimum open time of the call, and the resulting open time. */
     @ParameterizedTest
     @CsvSource({"1,0,1000", "2,0,2000", "3,0,4000", "4,0,8000", "40,0,8000", "1,3000,3000", "1,1e9,8000"})
-    void staysOpenTwiceAsLongEachTimeUpToTheLongest(int times, double leastMs, double openMs) {
+    void staysOpenTwiceAsLongEachTimeUpToTheMaximum(int openings, double minOpenMs, double openMs) {
         double nowMs = 0;
-        for (int i = 1; i <= times; i++) {
+        for (int i = 1; i <= openings; i++) {
             nowMs += 10_000;
-            breaker.open(leastMs, nowMs);
+            breaker.open(minOpenMs, nowMs);
         }
         assertThat(breaker.isOpen(nowMs + openMs - 1)).isTrue();
         assertThat(breaker.isOpen(nowMs + openMs)).isFalse();
     }
 
     @Test
-    void beginsAgainWithTheFirstTimeOnceItHasClosed() {
+    void startsAgainWithTheInitialTimeAfterClosing() {
         breaker.open(0, 0);
         breaker.open(0, 1_000);
         for (int i = 0; i < 4; i++) breaker.onSuccess(10_000);
--- a/src/test/java/maplerail/policy/DeficitCountersTest.java
+++ b/src/test/java/maplerail/policy/DeficitCountersTest.java
@@ -7,16 +7,16 @@
 class DeficitCountersTest {
     private static final int CLIENT = 1;
     private static final int OTHER = 2;
-    private static final double QUANTUM = 40_000;
+    private static final double QUANTUM_TOKENS = 40_000;
 
     private final DeficitCounters counters = new DeficitCounters();
     private final DeficitCounters.ReaderCounters reader = counters.newReader();
 
     @Test
-    void growsByAQuantumWhenNothingIsLeft() {
+    void growsByAQuantumWhenNoCreditIsLeft() {
         assertThat(reader.credit(CLIENT)).isZero();
         counters.growIfSpent(CLIENT, 0);
-        assertThat(reader.credit(CLIENT)).isEqualTo(QUANTUM);
+        assertThat(reader.credit(CLIENT)).isEqualTo(QUANTUM_TOKENS);
         assertThat(reader.credit(OTHER)).isZero();
     }
 
@@ -27,27 +27,27 @@
     }
 
     @Test
-    void growsByAsManyQuantaAsMakeTheCreditPositive() {
-        reader.charge(CLIENT, 2.5 * QUANTUM);
+    void growsByEnoughQuantaToMakeTheCreditPositive() {
+        reader.charge(CLIENT, 2.5 * QUANTUM_TOKENS);
         counters.growIfSpent(CLIENT, reader.credit(CLIENT));
-        assertThat(reader.credit(CLIENT)).isEqualTo(0.5 * QUANTUM);
+        assertThat(reader.credit(CLIENT)).isEqualTo(0.5 * QUANTUM_TOKENS);
     }
 
     @Test
-    void chargesOnlyTheClientAndTheReaderThatAreNamed() {
+    void chargesOnlyTheGivenClientAndReader() {
         counters.growIfSpent(CLIENT, 0);
         counters.growIfSpent(OTHER, 0);
         DeficitCounters.ReaderCounters second = counters.newReader();
         reader.charge(CLIENT, 100);
-        assertThat(reader.credit(CLIENT)).isEqualTo(QUANTUM - 100);
-        assertThat(reader.credit(OTHER)).isEqualTo(QUANTUM);
-        assertThat(second.credit(CLIENT)).isEqualTo(QUANTUM);
+        assertThat(reader.credit(CLIENT)).isEqualTo(QUANTUM_TOKENS - 100);
+        assertThat(reader.credit(OTHER)).isEqualTo(QUANTUM_TOKENS);
+        assertThat(second.credit(CLIENT)).isEqualTo(QUANTUM_TOKENS);
     }
 
     @Test
-    void givesANewcomerAQuantumHoweverMuchWasGrantedBefore() {
-        reader.charge(CLIENT, 10 * QUANTUM);
+    void givesANewReaderOneQuantumWhateverWasGrantedBefore() {
+        reader.charge(CLIENT, 10 * QUANTUM_TOKENS);
         counters.growIfSpent(CLIENT, reader.credit(CLIENT));
-        assertThat(counters.newReader().credit(CLIENT)).isEqualTo(QUANTUM);
+        assertThat(counters.newReader().credit(CLIENT)).isEqualTo(QUANTUM_TOKENS);
     }
 }
--- a/src/test/java/maplerail/policy/EngineAgeTest.java
+++ b/src/test/java/maplerail/policy/EngineAgeTest.java
@@ -15,45 +15,45 @@
 
     private final EngineClock clock = new EngineClock(new Rules(8, 500, 0.25, 2.5, 2_000, WARM_MS, 10_000));
 
-    private void tell(ListKind kind, double nowMs, Member... members) {
+    private void report(ListKind kind, double nowMs, Member... members) {
         clock.onList(kind, List.of(members), nowMs);
     }
 
-    private static Member started(long engine, double stamp) {
-        return new Member(engine, State.READY, stamp, 0, 0, 1, 0);
+    private static Member started(long engine, double stampMs) {
+        return new Member(engine, State.READY, stampMs, 0, 0, 1, 0);
     }
 
-    /** After an outage of discovery news come late: the engine has warmed meanwhile. */
+    /** After an outage of discovery, a report comes late: the engine has warmed up meanwhile. */
     @Test
-    void newsThatCameLaterThanTheSoonestTellOfAnOlderEngineWhateverTheClocks() {
-        tell(ListKind.WHOLE, 1_000);
-        tell(ListKind.CHANGES, 10_000, started(1, 9_000 + HOUR_MS));
-        tell(ListKind.CHANGES, 20_000, started(2, 14_000 + HOUR_MS));
-        tell(ListKind.CHANGES, 30_000, started(3, 29_500 + HOUR_MS));
+    void aReportWithAnExtraDelayMeansAnOlderEngineWhateverTheClocks() {
+        report(ListKind.WHOLE, 1_000);
+        report(ListKind.CHANGES, 10_000, started(1, 9_000 + HOUR_MS));
+        report(ListKind.CHANGES, 20_000, started(2, 14_000 + HOUR_MS));
+        report(ListKind.CHANGES, 30_000, started(3, 29_500 + HOUR_MS));
         assertThat(clock.startedMs(1)).isEqualTo(10_000);
-        assertThat(clock.startedMs(2)).as("5 s later than the soonest").isEqualTo(15_000);
-        assertThat(clock.startedMs(3)).as("sooner than the soonest").isEqualTo(30_000);
+        assertThat(clock.startedMs(2)).as("5 s beyond the shortest delay").isEqualTo(15_000);
+        assertThat(clock.startedMs(3)).as("a new shortest delay").isEqualTo(30_000);
     }
 
     @Test
-    void aDelayBeyondSenseSaysThatAClockWasSet() {
-        tell(ListKind.WHOLE, 1_000);
-        tell(ListKind.CHANGES, 10_000, started(1, 9_000 + 2 * HOUR_MS));
-        tell(ListKind.CHANGES, 20_000, started(2, 19_000 + HOUR_MS));
-        tell(ListKind.CHANGES, 30_000, started(3, 27_000 + HOUR_MS));
+    void anExcessiveDelayMeansThatAClockWasSet() {
+        report(ListKind.WHOLE, 1_000);
+        report(ListKind.CHANGES, 10_000, started(1, 9_000 + 2 * HOUR_MS));
+        report(ListKind.CHANGES, 20_000, started(2, 19_000 + HOUR_MS));
+        report(ListKind.CHANGES, 30_000, started(3, 27_000 + HOUR_MS));
         assertThat(clock.startedMs(2)).isEqualTo(20_000);
         assertThat(clock.startedMs(3)).isEqualTo(28_000);
     }
 
     @Test
-    void aSoundFleetOfAFirstListIsNotHeldToBeCold() {
-        tell(ListKind.WHOLE, 10 * HOUR_MS, started(1, HOUR_MS), started(2, HOUR_MS + 100), started(3, HOUR_MS + 200));
+    void aHealthyFleetInTheFirstListIsNotCold() {
+        report(ListKind.WHOLE, 10 * HOUR_MS, started(1, HOUR_MS), started(2, HOUR_MS + 100), started(3, HOUR_MS + 200));
         assertThat(clock.isCold(clock.startedMs(3), 10 * HOUR_MS)).isFalse();
     }
 
     @Test
-    void whatIsGoneIsForgotten() {
-        tell(ListKind.WHOLE, 1_000, started(1, 900));
+    void aRemovedEngineIsForgotten() {
+        report(ListKind.WHOLE, 1_000, started(1, 900));
         clock.forget(1);
         assertThat(clock.startedMs(1)).isZero();
         assertThat(clock.currentCapacity(clock.startedMs(1), 1_000)).isEqualTo(1);
--- a/src/test/java/maplerail/policy/ProtocolRulesTest.java
+++ b/src/test/java/maplerail/policy/ProtocolRulesTest.java
@@ -21,76 +21,76 @@
     private static final double DEADLINE_MS = 5_000;
     private static final double WINDOW_MS = 1_000;
 
-    /** A request with so many attempts: one that may have run, if any, reads that are out, and others never sent. */
-    private static RequestState state(Repeat repeat, Scope scope, int attempts, int out, PriorAttempt first) {
+    /** A request with that many attempts: one that may have run, if any, reads in flight, and others never sent. */
+    private static RequestState state(Repeat repeat, Scope scope, int attempts, int readsInFlight, PriorAttempt first) {
         RequestClass requestClass = new RequestClass(1_000, 0, DEADLINE_MS, 0, 1, 0, repeat, scope, WINDOW_MS);
-        List<PriorAttempt> made = new ArrayList<>();
-        if (first != null) made.add(first);
-        for (int i = 0; i < out; i++) made.add(new PriorAttempt(READER, 100, null));
-        while (made.size() < attempts) made.add(new PriorAttempt(WRITER, 100, Outcome.NOT_SENT));
-        return new RequestState(requestClass, false, DEADLINE_MS, made);
+        List<PriorAttempt> priorAttempts = new ArrayList<>();
+        if (first != null) priorAttempts.add(first);
+        for (int i = 0; i < readsInFlight; i++) priorAttempts.add(new PriorAttempt(READER, 100, null));
+        while (priorAttempts.size() < attempts) priorAttempts.add(new PriorAttempt(WRITER, 100, Outcome.NOT_SENT));
+        return new RequestState(requestClass, false, DEADLINE_MS, priorAttempts);
     }
 
     private static PriorAttempt resetWrite(double sentMs, int zone, int cell) {
         return new PriorAttempt(new Target(Role.WRITE, true, zone, cell), sentMs, Outcome.RESET);
     }
 
-    private static Reason send(RequestState state, Target target, double nowMs) {
+    private static Reason checkSend(RequestState state, Target target, double nowMs) {
         return ProtocolRules.checkSend(state, target, LIMITS, nowMs);
     }
 
     @Test
-    void aFirstAttemptIsAllowedUpToTheDeadlineAtAnEngineInService() {
+    void aFirstAttemptIsAllowedUntilTheDeadlineAtAnEngineInService() {
         RequestState fresh = state(Repeat.UNSAFE, Scope.ALL, 0, 0, null);
-        assertThat(send(fresh, WRITER, 4_999)).isEqualTo(Reason.ALLOWED);
-        assertThat(send(fresh, WRITER, 5_000)).isEqualTo(Reason.DEADLINE_PASSED);
-        assertThat(send(fresh, new Target(Role.WRITE, false, 1, 1), 0)).isEqualTo(Reason.ENGINE_NOT_IN_SERVICE);
-        RequestState over = new RequestState(fresh.requestClass(), true, DEADLINE_MS, List.of());
-        assertThat(send(over, WRITER, 0)).isEqualTo(Reason.REQUEST_OVER);
+        assertThat(checkSend(fresh, WRITER, 4_999)).isEqualTo(Reason.ALLOWED);
+        assertThat(checkSend(fresh, WRITER, 5_000)).isEqualTo(Reason.DEADLINE_PASSED);
+        assertThat(checkSend(fresh, new Target(Role.WRITE, false, 1, 1), 0)).isEqualTo(Reason.ENGINE_NOT_IN_SERVICE);
+        RequestState answered = new RequestState(fresh.requestClass(), true, DEADLINE_MS, List.of());
+        assertThat(checkSend(answered, WRITER, 0)).isEqualTo(Reason.REQUEST_OVER);
     }
 
     @Test
-    void attemptsAreLimitedInNumberAndNeverOutTogether() {
-        assertThat(send(state(Repeat.PURE, Scope.ALL, 3, 0, null), WRITER, 0)).isEqualTo(Reason.ATTEMPTS_SPENT);
-        assertThat(send(state(Repeat.PURE, Scope.ALL, 1, 1, null), WRITER, 0)).isEqualTo(Reason.ATTEMPT_OUT);
-        Limits copies = new Limits(3, true, true, true, 1_000, false);
-        assertThat(ProtocolRules.checkAttempt(state(Repeat.PURE, Scope.ALL, 1, 1, null), copies))
+    void attemptsAreLimitedInNumberAndNotInFlightTogether() {
+        assertThat(checkSend(state(Repeat.PURE, Scope.ALL, 3, 0, null), WRITER, 0)).isEqualTo(Reason.ATTEMPTS_SPENT);
+        assertThat(checkSend(state(Repeat.PURE, Scope.ALL, 1, 1, null), WRITER, 0)).isEqualTo(Reason.ATTEMPT_OUT);
+        Limits copiesAllowed = new Limits(3, true, true, true, 1_000, false);
+        assertThat(ProtocolRules.checkAttempt(state(Repeat.PURE, Scope.ALL, 1, 1, null), copiesAllowed))
                 .isEqualTo(Reason.ALLOWED);
     }
 
     @Test
-    void whatMayHaveRunGoesAgainOnlyWhereItsClassAllowsIt() {
+    void anAttemptThatMayHaveRunIsRepeatedOnlyWhereItsClassAllowsIt() {
         PriorAttempt first = resetWrite(100, 1, 2);
-        assertThat(send(state(Repeat.PURE, Scope.ALL, 1, 0, first), WRITER, 200)).isEqualTo(Reason.ALLOWED);
-        assertThat(send(state(Repeat.UNSAFE, Scope.ALL, 1, 0, first), WRITER, 200)).isEqualTo(Reason.MAY_HAVE_RUN);
-        assertThat(send(state(Repeat.UNSAFE, Scope.ALL, 1, 0, first), READER, 200)).isEqualTo(Reason.MAY_HAVE_RUN);
-        assertThat(send(state(Repeat.KEYED, Scope.ALL, 1, 0, first), WRITER, 1_099)).isEqualTo(Reason.ALLOWED);
-        assertThat(send(state(Repeat.KEYED, Scope.ALL, 1, 0, first), WRITER, 1_100))
+        assertThat(checkSend(state(Repeat.PURE, Scope.ALL, 1, 0, first), WRITER, 200)).isEqualTo(Reason.ALLOWED);
+        assertThat(checkSend(state(Repeat.UNSAFE, Scope.ALL, 1, 0, first), WRITER, 200)).isEqualTo(Reason.MAY_HAVE_RUN);
+        assertThat(checkSend(state(Repeat.UNSAFE, Scope.ALL, 1, 0, first), READER, 200)).isEqualTo(Reason.MAY_HAVE_RUN);
+        assertThat(checkSend(state(Repeat.KEYED, Scope.ALL, 1, 0, first), WRITER, 1_099)).isEqualTo(Reason.ALLOWED);
+        assertThat(checkSend(state(Repeat.KEYED, Scope.ALL, 1, 0, first), WRITER, 1_100))
                 .isEqualTo(Reason.REPEAT_WINDOW_OVER);
-        assertThat(send(state(Repeat.KEYED, Scope.ZONE, 1, 0, first), WRITER, 200)).isEqualTo(Reason.ALLOWED);
-        assertThat(send(state(Repeat.KEYED, Scope.CELL, 1, 0, first), WRITER, 200))
+        assertThat(checkSend(state(Repeat.KEYED, Scope.ZONE, 1, 0, first), WRITER, 200)).isEqualTo(Reason.ALLOWED);
+        assertThat(checkSend(state(Repeat.KEYED, Scope.CELL, 1, 0, first), WRITER, 200))
                 .isEqualTo(Reason.OUTSIDE_REPEAT_SCOPE);
     }
 
     @Test
-    void aRefusalPromisesThatARepeatIsHarmless() {
+    void aRefusalIsAllowedOnlyIfARepeatIsHarmless() {
         PriorAttempt first = resetWrite(100, 1, 2);
-        assertThat(refusal(Repeat.PURE, Scope.ALL, 1, first)).isEqualTo(Reason.ALLOWED);
-        assertThat(refusal(Repeat.UNSAFE, Scope.ALL, 0, null)).isEqualTo(Reason.ALLOWED);
-        assertThat(refusal(Repeat.UNSAFE, Scope.ALL, 1, null)).isEqualTo(Reason.ATTEMPT_OUT);
-        assertThat(refusal(Repeat.UNSAFE, Scope.ALL, 0, first)).isEqualTo(Reason.MAY_HAVE_RUN);
-        assertThat(refusal(Repeat.KEYED, Scope.ALL, 0, first)).isEqualTo(Reason.ALLOWED);
-        assertThat(refusal(Repeat.KEYED, Scope.ZONE, 0, first)).isEqualTo(Reason.OUTSIDE_REPEAT_SCOPE);
+        assertThat(checkRefusal(Repeat.PURE, Scope.ALL, 1, first)).isEqualTo(Reason.ALLOWED);
+        assertThat(checkRefusal(Repeat.UNSAFE, Scope.ALL, 0, null)).isEqualTo(Reason.ALLOWED);
+        assertThat(checkRefusal(Repeat.UNSAFE, Scope.ALL, 1, null)).isEqualTo(Reason.ATTEMPT_OUT);
+        assertThat(checkRefusal(Repeat.UNSAFE, Scope.ALL, 0, first)).isEqualTo(Reason.MAY_HAVE_RUN);
+        assertThat(checkRefusal(Repeat.KEYED, Scope.ALL, 0, first)).isEqualTo(Reason.ALLOWED);
+        assertThat(checkRefusal(Repeat.KEYED, Scope.ZONE, 0, first)).isEqualTo(Reason.OUTSIDE_REPEAT_SCOPE);
         assertThat(ProtocolRules.checkRefusal(state(Repeat.KEYED, Scope.ALL, 1, 0, first), 10, 1_090))
                 .isEqualTo(Reason.REPEAT_WINDOW_OVER);
     }
 
-    private static Reason refusal(Repeat repeat, Scope scope, int out, PriorAttempt first) {
-        return ProtocolRules.checkRefusal(state(repeat, scope, 1, out, first), 0, 200);
+    private static Reason checkRefusal(Repeat repeat, Scope scope, int readsInFlight, PriorAttempt first) {
+        return ProtocolRules.checkRefusal(state(repeat, scope, 1, readsInFlight, first), 0, 200);
     }
 
     @Test
-    void aConnectionIsClosedOnlyWhenItIsNotInUseAndItsClientNoLongerReliesOnIt() {
+    void onlyAnIdleConnectionThatItsClientNoLongerReliesOnIsClosed() {
         assertThat(ProtocolRules.checkClose(true, 9_000, 2_000)).isEqualTo(Reason.CONNECTION_IN_USE);
         assertThat(ProtocolRules.checkClose(false, 1_999, 2_000)).isEqualTo(Reason.CONNECTION_FRESH);
         assertThat(ProtocolRules.checkClose(false, 2_000, 2_000)).isEqualTo(Reason.ALLOWED);
--- a/src/test/java/maplerail/policy/RetryBudgetTest.java
+++ b/src/test/java/maplerail/policy/RetryBudgetTest.java
@@ -18,24 +18,24 @@
     }
 
     @Test
-    void beginsWithOneRetry() {
+    void startsWithOneRetry() {
         assertThat(retriesLeft()).isEqualTo(1);
     }
 
     @Test
-    void savesUpAFifthOfTheRecentArrivals() {
+    void savesRetriesForAFifthOfTheRecentArrivals() {
         arrivals(100, 20);
         assertThat(retriesLeft()).isEqualTo(4);
     }
 
     @Test
-    void savesUpTenRetriesAtMost() {
+    void savesAtMostTenRetries() {
         arrivals(1_000, 1_000);
         assertThat(retriesLeft()).isEqualTo(10);
     }
 
     @Test
-    void retriesWithoutBudgetAddToNoDebt() {
+    void spendingAnEmptyBudgetAddsNoDebt() {
         for (int i = 0; i < 100; i++) budget.spend();
         assertThat(budget.allowsRetry()).isFalse();
         arrivals(6, 100); // 1.2 retries
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void spendingWhileOverdrawnLeavesTheDebtAsItIs() {
+    void spendingWhileOverdrawnLeavesTheDebtUnchanged() {
         for (int i = 0; i < 3; i++) budget.overdraw(); // from 1 to -2
         budget.spend();
         arrivals(16, 100); // 3.2 retries
--- a/src/test/java/maplerail/policy/StateLeaseTest.java
+++ b/src/test/java/maplerail/policy/StateLeaseTest.java
@@ -18,41 +18,41 @@
 
     @ParameterizedTest
     @EnumSource(names = {"SERVED", "READ", "ERROR", "FULL", "STATE_GONE"})
-    void anAnswerBeginsTheTermAnew(Outcome answer) {
+    void anAnswerRenewsTheTerm(Outcome answer) {
         lease.onAttemptEnded(answer, START_MS + 300);
         assertThat(lease.expiresMs()).isEqualTo(START_MS + 300 + TERM_MS);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"TIMEOUT", "UNREACHABLE", "RESET", "CANCELLED", "NOT_SENT"})
-    void whatThisSideSawOrDecidedDoesNot(Outcome outcome) {
+    void anOutcomeObservedOnThisSideDoesNotRenewTheTerm(Outcome outcome) {
         lease.onAttemptEnded(outcome, START_MS + 300);
         assertThat(lease.expiresMs()).isEqualTo(START_MS + TERM_MS);
     }
 
-    /** A write that is sent late, or to writers that are usually slow, must be doubted within the term all the same. */
+    /** A write that is sent late, or to writers that are usually slow, must be given up within the term too. */
     @ParameterizedTest
     @ValueSource(doubles = {Double.NaN, 0, 40, 130, 390, 5_000})
-    void aWriteIsDoubtedWithinTheTermHoweverLongWritersTake(double usualWaitMs) {
+    void aSilentWriteIsGivenUpWithinTheTermHoweverLongWritersTake(double usualWaitMs) {
         for (double sentAfterMs = 0; sentAfterMs <= TERM_MS; sentAfterMs += 10) {
-            double doubtMs = lease.reclaimAtMs(START_MS + sentAfterMs, usualWaitMs, MARGIN_MS);
-            assertThat(doubtMs).isBetween(START_MS + 0.7 * TERM_MS, START_MS + TERM_MS - MARGIN_MS);
+            double reclaimAtMs = lease.reclaimAtMs(START_MS + sentAfterMs, usualWaitMs, MARGIN_MS);
+            assertThat(reclaimAtMs).isBetween(START_MS + 0.7 * TERM_MS, START_MS + TERM_MS - MARGIN_MS);
         }
     }
 
     @Test
-    void aWriteIsWaitedForAsLongAsIsUsualWhereTheTermAllowsIt() {
+    void theStateIsHeldUntilTheSilenceIsUnusualIfTheTermAllowsIt() {
         assertThat(lease.reclaimAtMs(START_MS, 20, MARGIN_MS)).isEqualTo(START_MS + 350);
         assertThat(lease.reclaimAtMs(START_MS, 140, MARGIN_MS)).isEqualTo(START_MS + 420);
         assertThat(lease.reclaimAtMs(START_MS + 260, 50, MARGIN_MS)).isEqualTo(START_MS + 410);
     }
 
     /**
-     * Whatever ends in whatever order, with no answer in between the term is over at the same moment; an answer puts it
-     * off by less than a term each time.
+     * For attempts that end in any order, the term ends at the same time if there is no answer in between; each answer
+     * postpones it by less than a term.
      */
     @Test
-    void noSequenceOfEndsWithoutAnAnswerPutsOffTheEnd() {
+    void noSequenceOfOutcomesWithoutAnAnswerPostponesTheEnd() {
         checkAllSequences(new StateLease(TERM_MS, START_MS), START_MS, START_MS, 4);
     }
 
