--- a/src/main/java/maplerail/Logic.java
+++ b/src/main/java/maplerail/Logic.java
@@ -809,7 +809,7 @@
         actions.add(new Log("ejected " + Long.toHexString(engine.id) + ": " + reason));
     }
 
-    /** Whether an engine was not full lately and its circuit breaker lets another attempt through. */
+    /** Whether an engine was not full recently and its circuit breaker lets another attempt through. */
     private boolean admits(Engine engine) {
         return nowMs >= engine.fullUntilMs && engine.breaker.admits(engine.inFlight.size(), nowMs);
     }
@@ -848,7 +848,7 @@
             giveUp(request, EndReason.ATTEMPTS_SPENT);
             return false;
         }
-        // A repeat may have to wait for a connection. It is withdrawn if its window ends meanwhile.
+        // A repeat may have to wait for a connection. It is withdrawn if its window ends before that.
         double startByMs = latestRepeatMs(request);
         if (isCold(engine)) engine.coldBucket -= 1;
         Attempt attempt = new Attempt(request, engine, isRead, nowMs);
@@ -933,7 +933,7 @@
         return Math.max(minMs, expectedOverdueMs(attempt)) * (1 << attempt.number / 2);
     }
 
-    /** A multiple of the time that an attempt takes at its peers, or took lately at its own engine. */
+    /** A multiple of the time that an attempt takes at its peers, or took recently at its own engine. */
     private double expectedOverdueMs(Attempt attempt) {
         double pace = roleStats(attempt.engine).pace;
         double expectedMs = Math.max(Double.isNaN(pace) ? 0 : pace * attempt.cost,
--- a/src/main/java/maplerail/policy/EngineClock.java
+++ b/src/main/java/maplerail/policy/EngineClock.java
@@ -16,8 +16,8 @@
  * <p>An engine whose start is reported while this node runs counts as started when the report arrived, or earlier by the
  * report's delay beyond the shortest delay seen; the difference of the clocks cancels out. In the first list, the newest
  * engine counts as just started and the others as older by the difference of the stamps. If that would make most engines
- * of a kind cold although the clock says that they are warm, the clock is believed: a node that took a healthy fleet for
- * cold would serve little.
+ * of a kind cold although the clock says that they are warm, the clock is believed: a node that takes a healthy fleet for
+ * cold serves few requests.
  */
 public final class EngineClock {
     private static final double LONG_AGO = 0; // both as a stamp and as a start time
--- a/src/test/java/maplerail/SlowStartTest.java
+++ b/src/test/java/maplerail/SlowStartTest.java
@@ -44,10 +44,11 @@
     }
 
     /**
-     * Simulates a fleet whose gateways together get a request every {@code everyMs}, served at once. At
+     * Simulates a fleet whose gateways together get a request every {@code arrivalIntervalMs}, served at once. At
      * {@link #REPLACED_MS}, all but {@code warmLeft} of its readers are replaced by cold ones.
      */
-    private static List<ColdRead> simulate(int gateways, int readers, int warmLeft, double everyMs, double untilMs) {
+    private static List<ColdRead> simulate(int gateways, int readers, int warmLeft, double arrivalIntervalMs,
+            double untilMs) {
         List<Node> fleet = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
             Node node = new Node();
@@ -60,7 +61,7 @@
         SplittableRandom random = new SplittableRandom(gateways);
         boolean replaced = false;
         long id = 0;
-        for (double now = START_MS; now < untilMs; now += everyMs) {
+        for (double now = START_MS; now < untilMs; now += arrivalIntervalMs) {
             if (now >= REPLACED_MS && !replaced) {
                 replaced = true;
                 for (Node node : fleet) {
@@ -86,10 +87,10 @@
     @ParameterizedTest
     @ValueSource(ints = {3, 30, 100})
     void coldEnginesRelieveTheFewWarmOnes(int gateways) {
-        double everyMs = 12.5;
-        List<ColdRead> cold = simulate(gateways, 17, 7, everyMs, REPLACED_MS + 6_000);
+        double arrivalIntervalMs = 12.5;
+        List<ColdRead> cold = simulate(gateways, 17, 7, arrivalIntervalMs, REPLACED_MS + 6_000);
         double late = cold.stream().filter(read -> read.atMs() >= REPLACED_MS + 2_000).count();
-        double share = late / (4_000 / everyMs);
+        double share = late / (4_000 / arrivalIntervalMs);
         // Ten cold engines at 0.58 of their capacity on average, beside seven warm ones: 0.45 of the total capacity.
         assertTrue(share > 0.3 && share < 0.6, "share of the reads that went to cold engines: " + share);
     }
@@ -106,8 +107,8 @@
     void theReadsOfAllGatewaysStayWithinTheBudget(int calls, int gateways, int warmLeft) {
         int readers = 5;
         double capacityPerMs = calls / (TIP_MULTIPLE * START_CAPACITY * TIP_WINDOW_MS);
-        double everyMs = 1 / (0.9 * readers * capacityPerMs);
-        List<ColdRead> cold = simulate(gateways, readers, warmLeft, everyMs, REPLACED_MS + 14_000);
+        double arrivalIntervalMs = 1 / (0.9 * readers * capacityPerMs);
+        List<ColdRead> cold = simulate(gateways, readers, warmLeft, arrivalIntervalMs, REPLACED_MS + 14_000);
         for (ColdRead first : cold) {
             double age = (first.atMs() - REPLACED_MS) / WARM_AFTER_MS;
             double present = Math.min(1, START_CAPACITY + (1 - START_CAPACITY) * age);
@@ -186,7 +187,7 @@
     @ParameterizedTest
     @ValueSource(ints = {20, 30, 100})
     void theSendsOfAllNodesStayWithinAColdEnginesBudgetAsItWarms(int nodes) {
-        double everyMs = 40; // over the fleet: warm engines, half loaded, take one every 400 ms
+        double arrivalIntervalMs = 40; // over the fleet: warm engines, half loaded, take one every 400 ms
         double windowMs = 3_000;
         List<Double> sent = new ArrayList<>();
         List<Node> fleet = new ArrayList<>();
@@ -200,7 +201,7 @@
         }
         SplittableRandom random = new SplittableRandom(nodes);
         double now = 95_000;
-        for (long id = 1; now < 112_000; id++, now += everyMs) {
+        for (long id = 1; now < 112_000; id++, now += arrivalIntervalMs) {
             Node node = fleet.get(random.nextInt(nodes));
             node.nowMs = now;
             if (now >= 100_000) node.reportList(ListKind.CHANGES, new Member(1, State.READY, 100_000, 0, 0, 1, 0));
@@ -210,8 +211,8 @@
         }
         for (double from : sent) {
             // Twice what a warm peer gets is its capacity; the settings: 2.5 times, from 0.3 on, warm after 10 s.
-            double capacity = 2 * windowMs / (6 * everyMs) * (0.3 + 0.7 * (from - 100_000) / 10_000);
-            double budget = 2.5 * Math.min(capacity, 2 * windowMs / (6 * everyMs));
+            double capacity = 2 * windowMs / (6 * arrivalIntervalMs) * (0.3 + 0.7 * (from - 100_000) / 10_000);
+            double budget = 2.5 * Math.min(capacity, 2 * windowMs / (6 * arrivalIntervalMs));
             long within = sent.stream().filter(at -> at >= from && at < from + windowMs).count();
             assertTrue(within <= budget + 2 * Math.sqrt(budget) + 2, within + " sends of " + budget + " from " + from);
         }
