--- a/src/main/java/maplerail/cli/Main.java
+++ b/src/main/java/maplerail/cli/Main.java
@@ -28,13 +28,14 @@
     private static final int BUFFER_BYTES = 1 << 16;
     private static final String USAGE = """
             usage: maplerail COMMAND [--config FILE] [--tools FILE]
-              serve          run a gateway; its configuration is FILE, else $RELAY_CONFIG;
-                             --tools switches the JSON-RPC front on, set up in that file
-              check-config   read a configuration and say what is wrong with it
-              adapter        decide on the simulator's wire, on standard input and output
-              rehearse       start, ask itself a few things and stop; the build records its classes
+              serve          run a gateway; FILE is its configuration, $RELAY_CONFIG by default;
+                             --tools enables the JSON-RPC front, configured in that file
+              check-config   validate a configuration and report what is wrong with it
+              adapter        make decisions for the simulator, on standard input and output
+              rehearse       start a gateway, send it a few requests and stop; the build uses
+                             this to record the classes that it loads
               version        print the version
-              help           print this
+              help           print this help
             """;
 
     private Main() {}
