--- a/src/main/java/maplerail/Logic.java
+++ b/src/main/java/maplerail/Logic.java
@@ -48,7 +48,7 @@
     private static final double OUTPUT_TOKEN_WEIGHT = 2;
     /** Share of a request's maximum output that it is expected to use, if it carries no hint. */
     private static final double EXPECTED_OUTPUT_SHARE = 0.5;
-    /** Time for which a locality entry is believed, and in which arrival counts fade. */
+    /** Time for which a locality entry is trusted, and in which arrival counts fade. */
     private static final double LOCALITY_TTL_MS = 20_000;
     /** An engine's entry is dropped when a read finds less than this share of the matched tokens cached. */
     private static final double MIN_CACHED_SHARE = 0.5;
@@ -223,7 +223,7 @@
         double matchedTokens;
         boolean ended;
         boolean cancelled;
-        /** Whether its stream has begun. */
+        /** Whether its stream has started. */
         boolean streaming;
         /** Whether it was left in flight once when it was overdue. */
         boolean excused;
@@ -837,8 +837,8 @@
         return eligible;
     }
 
-    private static boolean sameZone(Engine one, Engine other) {
-        return one.member.zone() == other.member.zone();
+    private static boolean sameZone(Engine first, Engine second) {
+        return first.member.zone() == second.member.zone();
     }
 
     /** Sends an attempt and sets its timers; if none may be made any more, ends the request. */
@@ -882,7 +882,7 @@
                 nowMs) == Reason.ALLOWED;
     }
 
-    /** Whether another engine in service could be sent the work that a writer has begun or may have begun. */
+    /** Whether another engine in service could be sent the work that a writer has started or may have started. */
     private boolean hasAlternativeWriter(Request request, Engine writer) {
         return request.requestClass.repeat() == Repeat.PURE || engines.values().stream()
                 .filter(repeatAllowed(request)).anyMatch(e -> e != writer && e.ready && e.role != Role.READ);
@@ -897,7 +897,7 @@
                 && (request.holder != null || allowed.stream().anyMatch(this::canRead));
     }
 
-    /** Until when an attempt may begin, given the attempts that may have run. */
+    /** Until when an attempt may start, given the attempts that may have run. */
     private double latestRepeatMs(Request request) {
         return ProtocolRules.latestRepeatMs(request.toRequestState(), marginMs());
     }
@@ -940,8 +940,8 @@
                 recentWaitMs(attempt.engine));
         // Tokens that are only assumed to be cached may have to be read.
         boolean assumed = pace > 0 && attempt.request.assumedHolders.contains(attempt.engine);
-        double wholeMs = assumed ? pace * attempt.request.arrival.promptTokens() : 0;
-        return OVERDUE_FACTOR * Math.max(expectedMs, wholeMs / 2);
+        double uncachedReadMs = assumed ? pace * attempt.request.arrival.promptTokens() : 0;
+        return OVERDUE_FACTOR * Math.max(expectedMs, uncachedReadMs / 2);
     }
 
     /** Sends an attempt elsewhere that has been in flight far longer than its peers take. */
@@ -1046,8 +1046,8 @@
      * state is thus still held when the write ends, and its lease starts again.
      */
     private void restoreReclaimedState(Request request, Attempt write, Outcome outcome) {
-        boolean ran = StateLease.isEngineAnswer(outcome) || write.engine.lastSuccessMs > write.sentMs;
-        if (request.reclaimedHolder != null && ran && outcome != Outcome.STATE_GONE) {
+        boolean writerRan = StateLease.isEngineAnswer(outcome) || write.engine.lastSuccessMs > write.sentMs;
+        if (request.reclaimedHolder != null && writerRan && outcome != Outcome.STATE_GONE) {
             request.holder = request.reclaimedHolder;
             startLease(request);
         }
@@ -1121,7 +1121,7 @@
 
     /**
      * Whether a request's first token is expected near the goal of its class or of a class with higher
-     * priority. Guards against a lasting lack of capacity; could harm where a short burst would have passed.
+     * priority. Guards against a lasting lack of capacity; may refuse requests needlessly during a short burst.
      */
     private boolean isOverloaded(Request request) {
         Engine reader = chooseReader(request, null);
@@ -1133,22 +1133,22 @@
         double allReadersMs = isRarelyUsed(reader) ? pooledWaitMs(readWaits) : 0;
         double queueMs = Math.max(readerMs, allReadersMs) + Math.max(medianMs, pooledWaitMs(firstTokenWaits));
         double limitMs = Math.min(request.goalAtMs, answerByMs(request)) - nowMs;
-        // A long prompt takes long without a queue: the time that its own read needs is no overload.
-        double wholeMs = queueMs
+        // A long prompt takes long even without a queue: the time of its own read does not indicate an overload.
+        double expectedMs = queueMs
                 + (unqueuedPace < Bounds.MAX ? unqueuedPace * neededTokens(request, reader) : 0);
-        boolean shut = queueMs > ADMISSION_QUEUE_SHARE * limitMs && wholeMs > ADMISSION_GOAL_SHARE * limitMs;
+        boolean overloaded = queueMs > ADMISSION_QUEUE_SHARE * limitMs && expectedMs > ADMISSION_GOAL_SHARE * limitMs;
         for (RequestClass other : settings.classes()) {
             if (other.priority() > request.priority) limitMs = Math.min(limitMs, other.firstTokenGoalMs());
         }
-        shut |= queueMs > ADMISSION_GOAL_SHARE * limitMs;
-        if (shut && nowMs - admissionLoggedMs >= ADMISSION_LOG_INTERVAL_MS) {
+        overloaded |= queueMs > ADMISSION_GOAL_SHARE * limitMs;
+        if (overloaded && nowMs - admissionLoggedMs >= ADMISSION_LOG_INTERVAL_MS) {
             admissionLoggedMs = nowMs;
             actions.add(new Log(String.format(Locale.ROOT, "admission shut: reader %x %.0f ms (oldest %.0f), "
                     + "all readers %.0f, writers' median %.0f, first tokens %.0f, of %.0f", reader.id,
                     readerMs, oldestWaitMs(reader), allReadersMs, medianMs, pooledWaitMs(firstTokenWaits),
                     limitMs)));
         }
-        return shut;
+        return overloaded;
     }
 
     /** Whether this node uses an engine too rarely to rely on its waits: those of its role replace them. */
@@ -1180,7 +1180,7 @@
     }
 
     /**
-     * An engine's wait, faded since its last success. Guards against admission that stays closed after a jam:
+     * An engine's wait, faded since its last success. Guards against admission that stays closed after an overload:
      * once closed, it would get no new samples.
      */
     private double fadingWaitMs(Engine engine) {
--- a/src/main/java/maplerail/Router.java
+++ b/src/main/java/maplerail/Router.java
@@ -48,7 +48,7 @@
      * @param startedMs when it started, by the clock that stamped the list; 0 if it started long ago
      * @param zone its zone, or {@link #UNKNOWN_PLACE}
      * @param cell its cell, or {@link #UNKNOWN_PLACE}
-     * @param kind its place in {@link Settings#kinds}
+     * @param kind its index in {@link Settings#kinds}
      */
     record Member(long engine, State state, double startedMs, int zone, int cell, double scale, int kind) {
         /** A zone or cell that the list does not state: such an engine shares it with no other. */
@@ -67,8 +67,8 @@
     /**
      * The node has accepted a request.
      *
-     * @param kind its place in {@link Settings#classes}
-     * @param tenant its place in {@link Settings#tenants}
+     * @param kind its index in {@link Settings#classes}
+     * @param tenant its index in {@link Settings#tenants}
      * @param session 0 for none
      * @param prefix 0 for none
      * @param hintMs expected streaming time, 0 for no hint
--- a/src/main/java/maplerail/cli/Gateway.java
+++ b/src/main/java/maplerail/cli/Gateway.java
@@ -178,7 +178,7 @@
     /**
      * Routes by the remembered list from now on. This is not done before the agent has answered or the wait for it has
      * timed out: until then clients of a restarted gateway wait, as they would otherwise be sent to engines that have
-     * begun to drain in the meantime.
+     * started to drain in the meantime.
      */
     private void useRememberedList() {
         if (unconfirmed == null) return;
--- a/src/main/java/maplerail/cli/Main.java
+++ b/src/main/java/maplerail/cli/Main.java
@@ -49,7 +49,7 @@
         if (status >= 0) System.exit(status);
     }
 
-    /** Runs a command and returns its exit status, or -1 if the program goes on and exits by itself. */
+    /** Runs a command and returns its exit status, or -1 if the program continues and exits by itself. */
     static int run(String[] args, Map<String, String> environment, PrintStream out, PrintStream errors)
             throws Exception {
         String command = args.length == 0 ? "" : args[0];
--- a/src/main/java/maplerail/cli/Rehearsal.java
+++ b/src/main/java/maplerail/cli/Rehearsal.java
@@ -56,12 +56,12 @@
 
     /** Answers the one request of each connection, in turn with an error, as a writer and twice as a reader. */
     private static void serve(ServerSocket engine) {
-        for (int turn = 0;; turn++) {
+        for (int count = 0;; count++) {
             try (Socket socket = engine.accept()) {
                 BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
                         StandardCharsets.US_ASCII));
                 for (String line = in.readLine(); line != null && !line.isEmpty();) line = in.readLine();
-                String answer = switch (turn % 4) {
+                String answer = switch (count % 4) {
                     case 0 -> "500 X\r\nContent-Length: 0\r\n\r\n";
                     case 1 -> "200 X\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n0\r\n\r\n";
                     default -> "202 X\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
--- a/src/main/java/maplerail/core/ActiveRequest.java
+++ b/src/main/java/maplerail/core/ActiveRequest.java
@@ -70,7 +70,7 @@
         return Math.max(abortedAtMs, Math.min(deadlineMs, abortedAtMs + MAX_QUEUED_MS)) + MAX_READ_MS;
     }
 
-    /** True while an attempt is in flight whose answer has begun to arrive. */
+    /** True while an attempt is in flight whose answer has started to arrive. */
     boolean responseStarted() {
         return attempts.stream().anyMatch(attempt -> !attempt.ended && attempt.handle != null
                 && (attempt.lastEventMs > 0 || attempt.handle.responseStarted()));
--- a/src/main/java/maplerail/core/AttemptRunner.java
+++ b/src/main/java/maplerail/core/AttemptRunner.java
@@ -247,9 +247,9 @@
      */
     private Outcome validateOutcome(ActiveRequest.Attempt attempt, Outcome reported) {
         Router.Role role = fleet.target(attempt.engine).role();
-        boolean foreign = role == Router.Role.READ && (reported == Outcome.SERVED || reported == Outcome.STATE_GONE)
+        boolean mismatched = role == Router.Role.READ && (reported == Outcome.SERVED || reported == Outcome.STATE_GONE)
                 || role == Router.Role.WRITE && reported == Outcome.READ && !settings.limits().writersRead();
-        if (!foreign) return reported;
+        if (!mismatched) return reported;
         log.accept("answer " + reported + " of a " + role + " engine to request " + attempt.active.request.id()
                 + " is invalid and counts as ERROR, " + attempt.handle.trace());
         return Outcome.ERROR;
--- a/src/main/java/maplerail/core/HeldStates.java
+++ b/src/main/java/maplerail/core/HeldStates.java
@@ -11,7 +11,7 @@
 /**
  * Tracks and releases the states that engines hold, or may hold, for requests. Each state that a reader reported has a
  * {@link StateLease}. When the lease expires, the state is released whatever the decision module does, unless a
- * writer's answer has begun. Releases are repeated for a while where an aborted read may leave a state.
+ * writer's answer has started. Releases are repeated for a while where an aborted read may leave a state.
  */
 final class HeldStates {
     /** Why a state was released. */
@@ -62,7 +62,7 @@
         this.logLimit = new LogRateLimiter(loop);
     }
 
-    /** A reader reported that it holds a state. The lease begins at the earliest time its answer can have arrived. */
+    /** A reader reported that it holds a state. The lease starts at the earliest time its answer can have arrived. */
     void onStateHeld(ActiveRequest active, long engine) {
         StateLease lease = new StateLease(leaseTermMs, loop.inputArrivedAfterMs());
         active.leases.put(engine, lease);
@@ -86,13 +86,13 @@
     void onAttemptEnded(ActiveRequest active, Router.Outcome outcome) {
         active.leases.values().forEach(lease -> lease.onAttemptEnded(outcome, loop.inputArrivedAfterMs()));
         if (active.hasAttemptInFlight()) return;
-        // If the write did arrive, its reader keeps the state for it: the lease begins when the write ends.
+        // If the write did arrive, its reader keeps the state for it: the lease starts when the write ends.
         if (outcome != Router.Outcome.STATE_GONE)
             active.reclaimedEngines.forEach(engine -> onStateHeld(active, engine));
         active.reclaimedEngines.clear();
     }
 
-    /** A stream has begun, which frees the held states, except those that aborted reads may still leave. */
+    /** A stream has started, which frees the held states, except those that aborted reads may still leave. */
     void onStreamStarted(ActiveRequest active) {
         active.possibleHolders.retainAll(active.abortedReadTimesMs.keySet());
         active.leases.clear();
--- a/src/main/java/maplerail/core/ServiceCounters.java
+++ b/src/main/java/maplerail/core/ServiceCounters.java
@@ -11,7 +11,7 @@
 public final class ServiceCounters {
     private static final double LOG_INTERVAL_MS = 10_000;
     private static final Comparator<Enum<?>> BY_NAME = Comparator
-            .comparing((Enum<?> what) -> what.getDeclaringClass().getSimpleName()).thenComparing(Enum::name);
+            .comparing((Enum<?> event) -> event.getDeclaringClass().getSimpleName()).thenComparing(Enum::name);
 
     private final EventLoop loop;
     private final Consumer<String> log;
--- a/src/main/java/maplerail/discovery/BackOff.java
+++ b/src/main/java/maplerail/discovery/BackOff.java
@@ -5,7 +5,7 @@
 /**
  * Computes when a node calls discovery again after a refusal. Each node draws a random time within a window that grows
  * with each refusal, so that nodes which were refused together do not call again together. The window starts with the
- * refused call: a change made right after that counts as known to the node 6 s later, whatever became of the call.
+ * refused call: a change made right after that counts as known to the node 6 s later, whatever the outcome of the call.
  */
 final class BackOff {
     /** Shortest delay before any further call. */
--- a/src/main/java/maplerail/discovery/ConsulWatch.java
+++ b/src/main/java/maplerail/discovery/ConsulWatch.java
@@ -25,7 +25,7 @@
     private final ConnectionPool pool;
     private final XnioLoop loop;
     private InetSocketAddress agent;
-    private final Set<String> wanted;
+    private final Set<String> serviceNames;
     private final BiConsumer<String, EngineList> onList;
     private final Set<String> watched = new HashSet<>();
     private final List<BlockingQuery> queries = new ArrayList<>();
@@ -34,23 +34,23 @@
     /**
      * Creates a watch.
      *
-     * @param wanted names of the services to watch
+     * @param serviceNames names of the services to watch
      * @param onList called with the complete list of a service on each change
      */
-    public ConsulWatch(ConnectionPool pool, XnioLoop loop, InetSocketAddress agent, Set<String> wanted,
+    public ConsulWatch(ConnectionPool pool, XnioLoop loop, InetSocketAddress agent, Set<String> serviceNames,
             BiConsumer<String, EngineList> onList) {
         this.pool = pool;
         this.loop = loop;
         this.agent = agent;
-        this.wanted = Set.copyOf(wanted);
+        this.serviceNames = Set.copyOf(serviceNames);
         this.onList = onList;
     }
 
-    /** Watches the catalogue, and each wanted service from its first appearance there. */
+    /** Watches the catalogue, and each configured service from its first appearance there. */
     public void start() {
         query("/v1/catalog/services", catalogue -> {
             for (String name : catalogue.keys()) {
-                if (wanted.contains(name) && watched.add(name)) watch(name);
+                if (serviceNames.contains(name) && watched.add(name)) watch(name);
             }
         });
     }
--- a/src/main/java/maplerail/discovery/PlatformWatch.java
+++ b/src/main/java/maplerail/discovery/PlatformWatch.java
@@ -33,7 +33,7 @@
      * the latest.
      */
     private static final double WAIT_GRACE_MS = 2_250;
-    /** Time without a further byte after which the call of a response that began late is considered lost as well. */
+    /** Time without a further byte after which the call of a response that started late is considered lost as well. */
     private static final double MAX_SILENCE_MS = 500;
     /** Time after a switch of agents in which a list older than the newest known one is rejected. */
     private static final double REJECT_OLDER_MS = 2_000;
@@ -157,8 +157,8 @@
         @Override
         protected void onFailure() {
             if (!askedAgent.equals(agent)) return; // a call to the new agent is in flight
-            double now = loop.nowMs();
-            loop.schedule(refused ? backOff.nextCallMs(sentMs, now) : now + BackOff.MIN_DELAY_MS, () -> {
+            double nowMs = loop.nowMs();
+            loop.schedule(refused ? backOff.nextCallMs(sentMs, nowMs) : nowMs + BackOff.MIN_DELAY_MS, () -> {
                 if (askedAgent.equals(agent)) poll();
             });
         }
--- a/src/main/java/maplerail/front/ClientListener.java
+++ b/src/main/java/maplerail/front/ClientListener.java
@@ -38,19 +38,19 @@
     /** Time without a byte after which a request that may take longer than that counts as stalled. */
     private static final double STALL_TIMEOUT_MS = 1_000;
     private static final double MIN_IDLE_MS = 2_000; // for which a client may rely on an idle connection
-    /** For a new connection while few places are left, and for an idle one while none is. */
+    /** For a new connection while few slots are free, and for an idle one while none is. */
     private static final double SILENT_TIMEOUT_MS = 200;
-    /** For a new connection while no place is left: a client's first request arrives with its connection. */
+    /** For a new connection while no slot is free: a client's first request arrives with its connection. */
     private static final double FULL_SILENT_TIMEOUT_MS = 50;
-    private static final double FULL_STALL_TIMEOUT_MS = 250; // for an incomplete request, while no place is left
+    private static final double FULL_STALL_TIMEOUT_MS = 250; // for an incomplete request, while no slot is free
     private static final double IDLE_TIMEOUT_MS = 30_000;
     private static final double CHECK_INTERVAL_MS = 50;
     private static final double BACKLOG_DRAIN_MS = 100; // to empty the backlog once accept works again
     private static final byte[] REQUEST_TIMEOUT_RESPONSE = ("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n"
             + "Connection: close\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
-    private static final int RESERVED_DIVISOR = 8; // one in 8 places is kept free by closing idle connections
+    private static final int RESERVED_DIVISOR = 8; // one in 8 slots is kept free by closing idle connections
     /**
-     * The listener counts as full with at most one place in 32 left: no new client gets in, so any idle connection may
+     * The listener counts as full with at most one slot in 32 free: no new client gets in, so any idle connection may
      * have to be closed.
      */
     private static final int FULL_DIVISOR = 32;
@@ -300,7 +300,7 @@
     }
 
     /**
-     * While few places are left, closes silent connections, then idle ones. While no place is left, closes all that are
+     * While few slots are free, closes silent connections, then idle ones. While no slot is free, closes all that are
      * silent or have stalled within a request: requests may wait behind them in the kernel's backlog, and their
      * deadlines are running.
      */
--- a/src/main/java/maplerail/front/ConnectionBurst.java
+++ b/src/main/java/maplerail/front/ConnectionBurst.java
@@ -4,8 +4,8 @@
 
 /**
  * Estimates since when a new connection may have waited in the kernel's backlog. Each connection of a burst may have
- * waited since the burst began, as nothing shows that the backlog was empty in between. Connections that arrive more
- * slowly are accepted as they come, however long they keep coming.
+ * waited since the burst started, as nothing shows that the backlog was empty in between. Connections that arrive more
+ * slowly are accepted as they arrive, however long that continues.
  */
 final class ConnectionBurst {
     /** Connections that make a burst; fewer are accepted within a few milliseconds. */
--- a/src/main/java/maplerail/front/jsonrpc/RpcCaller.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcCaller.java
@@ -2,7 +2,7 @@
 
 import maplerail.core.Caller;
 
-/** Turns a refusal or a failure into the one final answer to a request. */
+/** Converts a refusal or a failure to the one final answer to a request. */
 abstract class RpcCaller implements Caller {
     protected final Session.PendingRequest pending;
 
--- a/src/main/java/maplerail/front/jsonrpc/Session.java
+++ b/src/main/java/maplerail/front/jsonrpc/Session.java
@@ -59,7 +59,7 @@
 
     private void startRequest(RpcMessage message) {
         if (pendingRequests.containsKey(message.id())) {
-            // The client would take an answer with this id for the final answer to the first request.
+            // The client would mistake an answer with this id for the final answer to the first request.
             send(RpcError.INVALID.answer("null", "id is in flight", "{\"duplicateId\":" + message.id() + "}"));
         } else if (!dispatcher.acceptsRequests()) {
             send(RpcError.refused(message.id(), "draining", RETRY_AFTER_MS));
--- a/src/main/java/maplerail/net/ConnectionPool.java
+++ b/src/main/java/maplerail/net/ConnectionPool.java
@@ -181,7 +181,7 @@
 
     /**
      * Returns the most recently used idle connection that has been quiet since, or null. Guards against a surplus
-     * response right after the previous one, which would be taken for the response to the next request.
+     * response right after the previous one, which would be mistaken for the response to the next request.
      */
     private PooledConnection takeIdle(InetSocketAddress address) {
         ArrayDeque<PooledConnection> idleConnections = idleByAddress.get(address);
@@ -259,15 +259,15 @@
      * resources.
      */
     private void retryConnect(InetSocketAddress address, Call call, IOException fault) {
-        double now = loop.nowMs();
-        if (now - lastFaultLogMs >= LOCAL_FAULT_LOG_INTERVAL_MS) {
-            lastFaultLogMs = now;
+        double nowMs = loop.nowMs();
+        if (nowMs - lastFaultLogMs >= LOCAL_FAULT_LOG_INTERVAL_MS) {
+            lastFaultLogMs = nowMs;
             LOG.warn("cannot connect to {}: {}", address, fault.getMessage());
         }
         call.markLocalFault();
         queuedByAddress.computeIfAbsent(address, t -> new ArrayDeque<>()).addFirst(call);
-        if (!inLocalFaultPause()) loop.schedule(now + LOCAL_FAULT_PAUSE_MS, this::startAllQueued);
-        localFaultPauseUntilMs = now + LOCAL_FAULT_PAUSE_MS;
+        if (!inLocalFaultPause()) loop.schedule(nowMs + LOCAL_FAULT_PAUSE_MS, this::startAllQueued);
+        localFaultPauseUntilMs = nowMs + LOCAL_FAULT_PAUSE_MS;
     }
 
     /** Returns true while connection attempts are paused after a local fault. */
--- a/src/main/java/maplerail/net/Outcomes.java
+++ b/src/main/java/maplerail/net/Outcomes.java
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Returns the outcome of a call without a complete response. An outcome from its head stands if it proves that the
+     * Returns the outcome of a call without a complete response. An outcome from its head is kept if it proves that the
      * attempt never ran.
      */
     static Outcome ofFailure(Outcome headOutcome, ResponseHandler.Failure failure) {
--- a/src/main/java/maplerail/net/PooledConnection.java
+++ b/src/main/java/maplerail/net/PooledConnection.java
@@ -33,7 +33,7 @@
 
     /**
      * Aborts the connection and discards data that has not been delivered. Guards against late arrival of an abandoned
-     * request: after an orderly close the operating system goes on sending what it has buffered, so a request that has
+     * request: after an orderly close the operating system continues sending what it has buffered, so a request that has
      * been sent elsewhere in the meantime would arrive a second time.
      */
     void abort() {
--- a/src/main/java/maplerail/net/TextResponseHandler.java
+++ b/src/main/java/maplerail/net/TextResponseHandler.java
@@ -32,7 +32,7 @@
      * Aborts a call that is overdue, unless its response is still arriving. Guards against a response that is large or
      * arrives over a slow path, which would otherwise be aborted and requested again and again.
      *
-     * @return true if the call goes on and has to be checked again
+     * @return true if the call continues and has to be checked again
      */
     public final boolean abortIfStalled(Call call) {
         if (ended) return false;
--- a/src/main/java/maplerail/policy/Bounds.java
+++ b/src/main/java/maplerail/policy/Bounds.java
@@ -2,7 +2,7 @@
 
 import maplerail.Router.Arrival;
 
-/** Bounds on reported figures. Guards against an absurd value that corrupts an estimate outliving its request. */
+/** Bounds on reported numbers. Guards against an out-of-range value that corrupts an estimate outliving its request. */
 public final class Bounds {
     /** Upper bound of a reported length or time, in tokens or milliseconds. */
     public static final double MAX = 1e7;
--- a/src/main/java/maplerail/policy/EngineClock.java
+++ b/src/main/java/maplerail/policy/EngineClock.java
@@ -16,11 +16,11 @@
  * <p>An engine whose start is reported while this node runs counts as started when the report arrived, or earlier by the
  * report's delay beyond the shortest delay seen; the difference of the clocks cancels out. In the first list, the newest
  * engine counts as just started and the others as older by the difference of the stamps. If that would make most engines
- * of a kind cold although the clock says that they are warm, the clock is believed: a node that takes a healthy fleet for
- * cold serves few requests.
+ * of a kind cold although they are warm by this node's clock, the clock takes precedence: a node that considers a
+ * healthy fleet cold serves few requests.
  */
 public final class EngineClock {
-    private static final double LONG_AGO = 0; // both as a stamp and as a start time
+    private static final double LONG_AGO = 0; // used as a stamp and as a start time
     private static final double MAX_EXTRA_DELAY_MS = 8_000; // of a report; a longer delay means that a clock was set
     private static final double MAX_COLD_SHARE = 0.5; // of a kind, that may be cold against the clock
 
@@ -48,7 +48,7 @@
         for (Member member : members) {
             double stampMs = member.startedMs();
             Start known = starts.get(member.engine());
-            // The same process as before. A known engine that is now listed as long started is the same one too.
+            // The same process as before. A known engine that is now listed as started long ago is the same one too.
             if (known != null && (stampMs == known.stampMs() || stampMs <= LONG_AGO)) continue;
             double startedMs = LONG_AGO;
             if (stampMs > LONG_AGO) {
--- a/src/main/java/maplerail/policy/PrefixTable.java
+++ b/src/main/java/maplerail/policy/PrefixTable.java
@@ -25,7 +25,7 @@
         this.ttlMs = ttlMs;
     }
 
-    /** Tokens that an engine holds of a prefix, 0 if unknown. Key 0 stands for no prefix. */
+    /** Tokens that an engine holds of a prefix, 0 if unknown. Key 0 means no prefix. */
     public double heldTokens(long key, E engine, double nowMs) {
         ArrayDeque<Holder<E>> holders = key == 0 ? null : holdersByKey.get(key);
         if (holders == null) return 0;
--- a/src/main/java/maplerail/policy/ProtocolRules.java
+++ b/src/main/java/maplerail/policy/ProtocolRules.java
@@ -16,7 +16,7 @@
     public enum Reason {
         /** No rule denies it. */
         ALLOWED,
-        /** The request has its final answer, or its stream has begun. */
+        /** The request has its final answer, or its stream has started. */
         REQUEST_OVER,
         /** The client no longer waits. */
         DEADLINE_PASSED,
@@ -53,7 +53,7 @@
         return attemptReason == Reason.ALLOWED ? checkRepeat(request, target, 0, nowMs) : attemptReason;
     }
 
-    /** Whether an attempt that already counts, but of which no byte has been written, may still begin now. */
+    /** Whether an attempt that already counts, but of which no byte has been written, may still start now. */
     public static Reason checkStart(RequestState request, Target target, double nowMs) {
         if (request.answered()) return Reason.REQUEST_OVER;
         if (nowMs >= request.deadlineMs()) return Reason.DEADLINE_PASSED;
@@ -91,7 +91,7 @@
         };
     }
 
-    /** Until when a further attempt may begin, given the attempts that may have run, less a margin. */
+    /** Until when a further attempt may start, given the attempts that may have run, less a margin. */
     public static double latestRepeatMs(RequestState request, double marginMs) {
         PriorAttempt first = request.firstThatMayHaveRun();
         if (first == null || isPure(request)) return Double.POSITIVE_INFINITY;
--- a/src/main/java/maplerail/policy/RecentMean.java
+++ b/src/main/java/maplerail/policy/RecentMean.java
@@ -28,7 +28,7 @@
         return mean;
     }
 
-    /** Number of samples that the mean still stands for. */
+    /** Number of samples that the mean still represents. */
     public double weight(double nowMs) {
         return weight * Math.exp((atMs - nowMs) / fadeMs);
     }
--- a/src/main/java/maplerail/policy/RequestState.java
+++ b/src/main/java/maplerail/policy/RequestState.java
@@ -8,7 +8,7 @@
  * The facts of a request that {@link ProtocolRules} needs.
  *
  * @param requestClass its class, or null if it is not in the settings
- * @param answered whether it has its final answer or its stream has begun, after which no attempt is sent
+ * @param answered whether it has its final answer or its stream has started, after which no attempt is sent
  * @param deadlineMs when its client stops waiting
  * @param attempts all its attempts in order, with any outcome
  */
--- a/src/main/java/maplerail/sim/Codec.java
+++ b/src/main/java/maplerail/sim/Codec.java
@@ -13,7 +13,7 @@
 import maplerail.Router.Event;
 
 /**
- * Decodes and encodes the frames of the simulator's protocol: batches of event records come in, replies with action
+ * Decodes and encodes the frames of the simulator's protocol: batches of event records are received, replies with action
  * records go out.
  */
 final class Codec {
@@ -135,7 +135,7 @@
                         f64(record, 15), u32(record, 10), u8(record, 24) != 0, load(record, 31, memoryColumn));
                 case 1050 -> new Router.Abandoned(u64(record, 2));
                 case 1060 -> new Router.Timer(u64(record, 2));
-                // Probe answers, messages of peers and notes on places, none of which this program requests.
+                // Probe answers, messages of peers and notes on locations, none of which this program requests.
                 case 1070, 1080, 1100 -> null;
                 default -> throw new WireException("record " + record + ": unknown code " + code);
             };
--- a/src/test/java/maplerail/LogicTest.java
+++ b/src/test/java/maplerail/LogicTest.java
@@ -330,11 +330,11 @@
     }
 
     @Test
-    void absurdFiguresDoNotAffectLaterRequests() {
+    void outOfRangeValuesDoNotAffectLaterRequests() {
         Node node = smallFleet();
-        double[] absurd = {Double.NaN, -5, 0, Double.POSITIVE_INFINITY, 1e30};
+        double[] outOfRange = {Double.NaN, -5, 0, Double.POSITIVE_INFINITY, 1e30};
         long id = 1;
-        for (double value : absurd) {
+        for (double value : outOfRange) {
             node.report(new Arrival(id, 0, 0, 3, value, 4, value, 5_000, value, value, false));
             node.end(id, 0, Outcome.READ, value, value, false);
             node.report(new Router.FirstToken(id, 1, 0, value));
--- a/src/test/java/maplerail/cli/JarIT.java
+++ b/src/test/java/maplerail/cli/JarIT.java
@@ -77,7 +77,7 @@
 
     /** Guards against the default action of SIGHUP, which would end the program. */
     @Test
-    void aHangupChangesDiscoveryAndKeepsOpenRequests() throws Exception {
+    void aSighupChangesDiscoveryAndKeepsOpenRequests() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         StandIn.Handler startStream = x -> {
             x.stream();
--- a/src/test/java/maplerail/core/LostWriteTest.java
+++ b/src/test/java/maplerail/core/LostWriteTest.java
@@ -60,7 +60,7 @@
 
     /** The operating system accepts connections for a stopped process; only an answer proves that it runs. */
     @Test
-    void aStateIsKeptOnlyForAWriteWhoseAnswerHasBegun() {
+    void aStateIsKeptOnlyForAWriteWhoseAnswerHasStarted() {
         fixture.responseStarted = true;
         startWrite(1);
         fixture.loop.until(fixture.loop.now + 3 * PIN_LIMIT_MS);
@@ -118,7 +118,7 @@
 
     /** The reader's time runs from its answer, no matter when the gateway reads that answer. */
     @Test
-    void theLeaseBeginsAtTheEarliestArrivalOfTheAnswerOnALaggingLoop() {
+    void theLeaseStartsAtTheEarliestArrivalOfTheAnswerOnALaggingLoop() {
         fixture.loop.behindMs = 0.4 * PIN_LIMIT_MS;
         startWrite(1);
         double readAnsweredMs = fixture.loop.now - fixture.loop.behindMs;
--- a/src/test/java/maplerail/core/RuleChecksTest.java
+++ b/src/test/java/maplerail/core/RuleChecksTest.java
@@ -74,7 +74,7 @@
 
     /** The client's close may still be unread in the loop turn in which the connection is established. */
     @Test
-    void anAttemptThatWaitedForItsConnectionDoesNotBeginForADisconnectedClient() {
+    void anAttemptThatWaitedForItsConnectionDoesNotStartForADisconnectedClient() {
         fixture.unsent = true;
         fixture.submit("a1", send(WRITER));
         fixture.callerDisconnected = true;
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void anAttemptThatWaitedForItsConnectionDoesNotBeginAfterTheDeadline() {
+    void anAttemptThatWaitedForItsConnectionDoesNotStartAfterTheDeadline() {
         fixture.unsent = true;
         fixture.submit("a1", send(WRITER));
         assertThat(fixture.startChecks.get(0).getAsBoolean()).isTrue();
@@ -95,7 +95,7 @@
 
     /** The timer that withdraws the attempt may be late if the loop is behind. */
     @Test
-    void anAttemptThatWaitedForItsConnectionDoesNotBeginAfterItsRepeatWindow() {
+    void anAttemptThatWaitedForItsConnectionDoesNotStartAfterItsRepeatWindow() {
         fixture.unsent = true;
         double windowEndMs = fixture.loop.now + 100;
         fixture.submit("a1", new Router.Send(1, WRITER, FAR_FUTURE_MS, windowEndMs));
--- a/src/test/java/maplerail/net/ConnectionPoolTest.java
+++ b/src/test/java/maplerail/net/ConnectionPoolTest.java
@@ -270,7 +270,7 @@
 
     /** A notice that the engine drains, or the client's disconnect, may have arrived and not been read yet. */
     @Test
-    void attemptOnADelayedLoopAsksAfterPendingInputIsRead() throws Exception {
+    void attemptOnADelayedLoopIsCheckedAfterPendingInputIsRead() throws Exception {
         CountDownLatch requested = new CountDownLatch(1);
         CountDownLatch mayRespond = new CountDownLatch(1);
         try (StandIn server = new StandIn(x -> x.reply(200, ""));
--- a/src/test/java/maplerail/policy/BoundsTest.java
+++ b/src/test/java/maplerail/policy/BoundsTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void allFiguresOfAnArrivalAreBoundedAndAllElseIsKept() {
+    void allNumbersOfAnArrivalAreClampedAndOtherFieldsAreKept() {
         Arrival arrival = new Arrival(7, 1, 2, 3, Double.NaN, 4, -5, 1e300, Double.POSITIVE_INFINITY, 6, true);
         assertThat(Bounds.clamp(arrival))
                 .isEqualTo(new Arrival(7, 1, 2, 3, 0, 4, 0, Bounds.MAX, Bounds.MAX, 6, true));
