--- a/src/main/java/maplerail/Logic.java
+++ b/src/main/java/maplerail/Logic.java
@@ -326,7 +326,7 @@
     private final PrefixTable<Engine> prefixTable = new PrefixTable<>(LOCALITY_TTL_MS);
     /** Recent arrivals by prefix or session; key 0 counts all arrivals. */
     private final ArrivalCounts arrivalCounts = new ArrivalCounts(LOCALITY_TTL_MS);
-    /** Cache for the present step. */
+    /** Cache for the current step. */
     private final Map<Role, RoleStats> roleStats = new TreeMap<>();
     /** Rates of ended reads and first tokens. */
     private final AnswerRates answerRates = new AnswerRates(RATE_FADE_MS);
@@ -344,7 +344,7 @@
     private double nowMs;
     private List<Action> actions = new ArrayList<>();
 
-    /** Makes the module of a node that has just started. */
+    /** Creates the module of a node that has just started. */
     public Logic(Settings settings) {
         this.settings = settings;
         this.random = new SplittableRandom(settings.seed());
@@ -385,7 +385,7 @@
                 engineClock.forget(member.engine());
                 continue;
             }
-            // A restarted process holds no state, and what was learned of the earlier one is void.
+            // A restarted process holds no state, and what was learned about the earlier one no longer applies.
             double startedMs = engineClock.startedMs(member.engine());
             if (engine == null || startedMs != engine.startedMs) {
                 engine = new Engine(member.engine(), startedMs);
@@ -410,7 +410,7 @@
         boolean hasTenant = arrival.tenant() < settings.tenants().size();
         Request request = new Request(arrival, settings.classes().get(arrival.kind()),
                 hasTenant ? classes + arrival.tenant() : arrival.kind());
-        if (hasTenant && tenantShares.isOver(arrival.tenant(), nowMs))
+        if (hasTenant && tenantShares.exceedsShare(arrival.tenant(), nowMs))
             request.priority *= settings.overSharePriorityFactor();
         requests.put(arrival.id(), request);
         if (answerByMs(request) <= nowMs) {
@@ -527,16 +527,16 @@
     private Engine selectByD2lpm(Request request, List<Engine> eligible, List<Engine> matched) {
         double largestCredit = eligible.stream().mapToDouble(e -> e.counters.credit(request.client)).max()
                 .orElse(0);
-        deficitCounters.growIfSpent(request.client, largestCredit);
+        deficitCounters.replenishIfExhausted(request.client, largestCredit);
         Engine holder = leastQueued(matched, request);
         return holder != null ? holder : leastQueued(eligible, request);
     }
 
     /**
      * Exception to D2LPM: a matched reader that is slow, or expected to take up too much of the time to the
-     * goal, gives way to the reader that is expected to be fastest, if that takes less than half as long; in
-     * place of a slow one, any shorter time is enough. Guards against a hot prefix, a slow holder and queues
-     * of other nodes. Could harm by spreading a prefix over readers that then evict other prefixes.
+     * goal, is replaced by the reader that is expected to be fastest, if that takes less than half as long;
+     * for a slow one, any shorter time is enough. Guards against a hot prefix, a slow holder and queues
+     * of other nodes. May spread a prefix over readers that then evict other prefixes.
      */
     private Engine spill(Request request, Engine chosen, List<Engine> eligible) {
         double chosenMs = expectedReadMs(request, chosen);
@@ -582,7 +582,7 @@
         boolean bySession = mostlyHistory && request.arrival.session() != 0;
         long key = bySession ? request.arrival.session() : request.arrival.prefix();
         double recent = arrivalCounts.count(key, nowMs);
-        // The present arrival is left out: it would make every prefix hot at a node with few arrivals.
+        // The current arrival is excluded: it would make every prefix hot at a node with few arrivals.
         double earlier = Math.max(0, recent - 1);
         double spread = OWNER_SPREAD_FACTOR * eligible.size() * earlier;
         double ownerCount = bySession ? 1
@@ -679,7 +679,7 @@
             engine.reportedMemoryShare = ended.load().memoryShare();
         switch (ended.outcome()) {
             case READ -> {
-                // What had to be read in fact: other nodes' prompts decide what stays cached.
+                // What actually had to be read: other nodes' prompts decide what stays cached.
                 double cachedTokens = Double.isNaN(ended.cachedTokens()) ? attempt.matchedTokens
                         : Bounds.clamp(ended.cachedTokens());
                 double readTokens = Math.max(0, attempt.request.arrival.promptTokens() - cachedTokens);
@@ -996,7 +996,7 @@
     /**
      * Cancels a read that may have ended with an answer that was lost, in time for a release of the state
      * that its reader would then hold. Not while reads wait everywhere, nor at a reader with few answers:
-     * there, a long wait is no sign of a loss. The retry budget may be overdrawn for it.
+     * there, a long wait does not indicate a loss. The retry budget may be overdrawn for it.
      */
     private void checkLostRead(Request request, int number) {
         Attempt read = number < request.attempts.size() ? request.attempts.get(number) : null;
@@ -1031,7 +1031,7 @@
         Engine excluded = outcome == Outcome.STATE_GONE ? request.holder : attempt.engine;
         if (outcome == Outcome.STATE_GONE) request.holder = null;
         boolean attemptsSpent = request.attempts.size() >= settings.limits().maxAttempts();
-        // Work that may have run and can be neither repeated nor sent elsewhere needs its state no longer.
+        // Work that may have run and can be neither repeated nor sent elsewhere no longer needs its state.
         if (nowMs >= latestRepeatMs(request)) giveUp(request, EndReason.MAY_HAVE_RUN);
         else if (attemptsSpent) giveUp(request, EndReason.ATTEMPTS_SPENT);
         else if (answerByMs(request) <= nowMs) giveUp(request, EndReason.DEADLINE);
@@ -1189,7 +1189,7 @@
     }
 
     /**
-     * Age of the oldest attempt that waits at an engine. Overtaken attempts are left out: a lost answer would
+     * Age of the oldest attempt that waits at an engine. Overtaken attempts are excluded: a lost answer would
      * look like a queue and close admission until the deadline.
      */
     private double oldestWaitMs(Engine engine) {
--- a/src/main/java/maplerail/Router.java
+++ b/src/main/java/maplerail/Router.java
@@ -161,7 +161,7 @@
     /** Deliver a {@link Timer} event at a time. */
     record SetTimer(long token, double atMs) implements Action {}
 
-    /** Open the standing subscription to the list. */
+    /** Open the permanent subscription to the list. */
     record Subscribe() implements Action {}
 
     /** Request the whole list once. */
@@ -192,7 +192,7 @@
     record Limits(int maxAttempts, boolean cancel, boolean secondCopies, boolean retryAfter, double maxRetryAfterMs,
             boolean writersRead) {}
 
-    /** The figures of the rules that the module has to keep. */
+    /** The parameters of the rules that the module has to follow. */
     record Rules(double answerSlackMs, double pinLimitMs, double startCapacity, double tipMultiple,
             double tipWindowMs, double warmAfterMs, double askWithinMs) {}
 
--- a/src/main/java/maplerail/cli/Gateway.java
+++ b/src/main/java/maplerail/cli/Gateway.java
@@ -231,7 +231,7 @@
 
     /**
      * Applies the part of a new configuration that may change at run time: the address of discovery. Open requests and
-     * everything learnt so far are kept.
+     * everything learned so far are kept.
      */
     public void reload(NodeConfig newConfig) {
         loop.execute(() -> {
--- a/src/main/java/maplerail/front/ClientListener.java
+++ b/src/main/java/maplerail/front/ClientListener.java
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Makes a listener in front of the HTTP server's own.
+     * Creates a listener in front of the HTTP server's own.
      *
      * @param httpListener the HTTP server's listener, which handles each connection
      * @param maxConnections the largest number of connections that should be open at once
--- a/src/main/java/maplerail/front/RequestThrottle.java
+++ b/src/main/java/maplerail/front/RequestThrottle.java
@@ -18,7 +18,7 @@
     private int handledInTurn;
     private boolean turnScheduled;
 
-    /** Makes a throttle for a loop. */
+    /** Creates a throttle for a loop. */
     public RequestThrottle(EventLoop loop) {
         this.loop = loop;
     }
--- a/src/main/java/maplerail/front/jsonrpc/RpcFront.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcFront.java
@@ -35,7 +35,7 @@
     private ClientListener listener;
 
     /**
-     * Makes a front.
+     * Creates a front.
      *
      * @param brokers the broker of each tool service, by the service's name
      * @param platformBroker the broker of the platform's engines
--- a/src/main/java/maplerail/front/platform/PlatformFront.java
+++ b/src/main/java/maplerail/front/platform/PlatformFront.java
@@ -35,7 +35,7 @@
     private ClientListener listener;
 
     /**
-     * Makes a front.
+     * Creates a front.
      *
      * @param names the names of classes and tenants that clients use
      * @param maxDeadlineMs the longest deadline of all classes
--- a/src/main/java/maplerail/policy/AnswerRates.java
+++ b/src/main/java/maplerail/policy/AnswerRates.java
@@ -11,7 +11,7 @@
     private final double fadeMs;
     private final Map<Role, Rate> rates = new TreeMap<>();
 
-    /** Makes rates that fade to 1/e within {@code fadeMs}. */
+    /** Creates rates that fade to 1/e within {@code fadeMs}. */
     public AnswerRates(double fadeMs) {
         this.fadeMs = fadeMs;
     }
--- a/src/main/java/maplerail/policy/ArrivalCounts.java
+++ b/src/main/java/maplerail/policy/ArrivalCounts.java
@@ -12,7 +12,7 @@
     private final double fadeMs;
     private final Map<Long, Count> counts = new LinkedHashMap<>();
 
-    /** Makes counts that fade to 1/e within {@code fadeMs}. */
+    /** Creates counts that fade to 1/e within {@code fadeMs}. */
     public ArrivalCounts(double fadeMs) {
         this.fadeMs = fadeMs;
     }
--- a/src/main/java/maplerail/policy/CellShares.java
+++ b/src/main/java/maplerail/policy/CellShares.java
@@ -9,7 +9,7 @@
     private final List<Member> readers;
     private final List<Member> writers;
 
-    /** Makes the shares for these readers and writers; there must be at least one writer. */
+    /** Creates the shares for these readers and writers; there must be at least one writer. */
     public CellShares(List<Member> readers, List<Member> writers) {
         this.readers = readers;
         this.writers = writers;
@@ -17,7 +17,7 @@
 
     /**
      * The cell that counts as near to a reader: the reader's own cell, or, where that has few writers, sometimes another
-     * one, so often that all writers get the same load. Guards against nodes that never see the writers full; harms where
+     * one, with a frequency that gives all writers the same load. Guards against nodes that never see the writers full; harms where
      * the cells' readers have unequal loads.
      */
     public int nearCell(int readerCell, SplittableRandom random) {
--- a/src/main/java/maplerail/policy/DeficitCounters.java
+++ b/src/main/java/maplerail/policy/DeficitCounters.java
@@ -39,7 +39,7 @@
     }
 
     /** Adds as many quanta to a client's counters as make the largest of them positive; none if it already is. */
-    public void growIfSpent(int client, double largestCredit) {
+    public void replenishIfExhausted(int client, double largestCredit) {
         if (largestCredit <= 0)
             granted.merge(client, QUANTUM_TOKENS * (Math.floor(-largestCredit / QUANTUM_TOKENS) + 1), Double::sum);
     }
--- a/src/main/java/maplerail/policy/EngineClock.java
+++ b/src/main/java/maplerail/policy/EngineClock.java
@@ -22,7 +22,7 @@
 public final class EngineClock {
     private static final double LONG_AGO = 0; // used as a stamp and as a start time
     private static final double MAX_EXTRA_DELAY_MS = 8_000; // of a report; a longer delay means that a clock was set
-    private static final double MAX_COLD_SHARE = 0.5; // of a kind, that may be cold against the clock
+    private static final double MAX_COLD_SHARE = 0.5; // of a kind, that may count as cold although warm by the clock
 
     private final double startCapacity;
     private final double warmAfterMs;
@@ -33,7 +33,7 @@
 
     private record Start(double stampMs, double startedMs) {}
 
-    /** Makes a clock that knows no engine. */
+    /** Creates a clock that knows no engine. */
     public EngineClock(Rules rules) {
         startCapacity = rules.startCapacity();
         warmAfterMs = rules.warmAfterMs();
--- a/src/main/java/maplerail/policy/PrefixTable.java
+++ b/src/main/java/maplerail/policy/PrefixTable.java
@@ -20,7 +20,7 @@
     private final double ttlMs;
     private final Map<Long, ArrayDeque<Holder<E>>> holdersByKey = new LinkedHashMap<>();
 
-    /** Makes a table whose entries expire after {@code ttlMs}. */
+    /** Creates a table whose entries expire after {@code ttlMs}. */
     public PrefixTable(double ttlMs) {
         this.ttlMs = ttlMs;
     }
--- a/src/main/java/maplerail/policy/RecentMean.java
+++ b/src/main/java/maplerail/policy/RecentMean.java
@@ -10,7 +10,7 @@
     private double weight;
     private double atMs;
 
-    /** Makes a mean without samples, over at most {@code maxSamples} whose weight fades to 1/e in {@code fadeMs}. */
+    /** Creates a mean without samples, over at most {@code maxSamples} whose weight fades to 1/e in {@code fadeMs}. */
     public RecentMean(double maxSamples, double fadeMs) {
         this.maxSamples = maxSamples;
         this.fadeMs = fadeMs;
--- a/src/main/java/maplerail/policy/RetryBudget.java
+++ b/src/main/java/maplerail/policy/RetryBudget.java
@@ -2,7 +2,7 @@
 
 /**
  * The retry budget of a node: a token bucket that each arrival fills by a part of a retry, so that retries stay a limited
- * share of the load whatever fails. Retries of reads whose answer may be lost may overdraw it; later arrivals pay that
+ * share of the load regardless of failures. Retries of reads whose answer may be lost may overdraw it; later arrivals pay that
  * back.
  */
 public final class RetryBudget {
@@ -13,7 +13,7 @@
     private double tokens = 1;
 
     /**
-     * Counts an arrival. The savings are limited by the recent arrivals, so that a node with few arrivals cannot make
+     * Counts an arrival. The saved retries are limited by the recent arrivals, so that a node with few arrivals cannot make
      * many retries at a time.
      */
     public void onArrival(double recentArrivals) {
--- a/src/main/java/maplerail/policy/StateLease.java
+++ b/src/main/java/maplerail/policy/StateLease.java
@@ -18,7 +18,7 @@
     private final double termMs;
     private double termStartMs;
 
-    /** Makes a lease that starts now. */
+    /** Creates a lease that starts now. */
     public StateLease(double termMs, double nowMs) {
         this.termMs = termMs;
         this.termStartMs = nowMs;
--- a/src/main/java/maplerail/policy/TenantShares.java
+++ b/src/main/java/maplerail/policy/TenantShares.java
@@ -23,14 +23,14 @@
     private final int nodeCount;
     private final Map<Integer, Bucket> buckets = new TreeMap<>();
 
-    /** Makes full buckets for tenants whose requests are spread evenly over the nodes. */
+    /** Creates full buckets for tenants whose requests are spread evenly over the nodes. */
     public TenantShares(List<Tenant> tenants, int nodeCount) {
         this.tenants = tenants;
         this.nodeCount = Math.max(1, nodeCount);
     }
 
     /** Takes a token for a request; returns true if there was none, so that the request is over its tenant's share. */
-    public boolean isOver(int tenant, double nowMs) {
+    public boolean exceedsShare(int tenant, double nowMs) {
         double perMs = tenants.get(tenant).quotaPerSecond() / 1_000 / nodeCount;
         if (!(perMs > 0)) return false; // no limit
         double maxTokens = Math.max(1, BURST_MS * perMs);
--- a/src/main/java/maplerail/sim/Codec.java
+++ b/src/main/java/maplerail/sim/Codec.java
@@ -14,7 +14,7 @@
 
 /**
  * Decodes and encodes the frames of the simulator's protocol: batches of event records are received, replies with action
- * records go out.
+ * records are sent.
  */
 final class Codec {
     static final int HEADER_BYTES = 16;
--- a/src/test/java/maplerail/FailoverTest.java
+++ b/src/test/java/maplerail/FailoverTest.java
@@ -32,7 +32,7 @@
     private static final double DEADLINE_MS = 5_000;
 
     /** One of 100 nodes, which gets one request per second; its readers answer within 60 ms. */
-    private static Node oneOfMany() {
+    private static Node nodeOfLargeFleet() {
         Node node = new Node();
         node.nodeCount = 100;
         node.secondCopies = false;
@@ -61,7 +61,7 @@
      */
     @Test
     void aRequestLeavesASilentEngineSoonAfterARetryIsAvailable() {
-        Node node = oneOfMany();
+        Node node = nodeOfLargeFleet();
         for (long id = 101; id <= 102; id++) {
             node.arrive(id, id, 0, 1_000, DEADLINE_MS);
             node.advanceTo(node.nowMs + GOAL_MS / 2);
@@ -87,7 +87,7 @@
     /** Guards against an attempt that is never checked again because it was overdue while its role was behind. */
     @Test
     void aRequestLeavesASilentEngineWhenItsRoleIsNoLongerBehind() {
-        Node node = oneOfMany();
+        Node node = nodeOfLargeFleet();
         serve(node, 51, 5, 700);
         node.arrive(101, 101, 0, 1_000, 60_000);
         long silent = node.lastSend().engine();
@@ -136,10 +136,10 @@
         node.start(members.toArray(Member[]::new));
         for (long id = 1; id <= 20; id++, node.nowMs += 1_000) {
             node.arrive(id, id, 0, 1_000, DEADLINE_MS);
-            boolean far = node.lastSend().engine() % 2 == 1;
-            if (far) node.end(id, 0, Outcome.UNREACHABLE, 250, 0, false);
+            boolean unreachable = node.lastSend().engine() % 2 == 1;
+            if (unreachable) node.end(id, 0, Outcome.UNREACHABLE, 250, 0, false);
             assertEquals(0, node.lastSend().engine() % 2, "zone of the reader that request " + id + " was sent to");
-            int attempts = far ? 2 : 1;
+            int attempts = unreachable ? 2 : 1;
             node.end(id, attempts - 1, Outcome.READ, 60, 0, false);
             node.firstToken(id, attempts);
             node.end(id, attempts, Outcome.SERVED);
--- a/src/test/java/maplerail/LogicTest.java
+++ b/src/test/java/maplerail/LogicTest.java
@@ -366,7 +366,7 @@
         assertTrue(node.actionsOf(Refuse.class).isEmpty());
     }
 
-    /** A writer that answers everything with errors is fast and looks the least loaded: each unsafe request there fails. */
+    /** A writer that answers everything with errors is fast and appears the least loaded: each unsafe request there fails. */
     @Test
     void unsafeWorkIsNotSentToAWriterThatFailedLast() {
         Node node = new Node();
@@ -568,7 +568,7 @@
         assertEquals(1, node.sends().size());
     }
 
-    // ---- Drains, cold engines, pins ----
+    // ---- Drains, cold engines, held states ----
 
     @Test
     void aDrainingEngineGetsNoNewWork() {
--- a/src/test/java/maplerail/LostReadAnswerTest.java
+++ b/src/test/java/maplerail/LostReadAnswerTest.java
@@ -50,7 +50,7 @@
         assertThat(sends.get(1).engine()).isNotEqualTo(sends.get(0).engine());
     }
 
-    /** The reader answered the earlier read and began with this one only then. */
+    /** The reader started this read only when it had answered the earlier one. */
     @Test
     void theTimeCountsFromTheLastAnswerOfTheReader() {
         Node node = warmNode();
@@ -66,7 +66,7 @@
         assertThat(node.actions).contains(new Cancel(101, 0));
     }
 
-    /** Guards against an overload, which looks like lost answers, that is increased by reads that are sent again. */
+    /** Guards against retried reads that add to an overload, which can be mistaken for lost answers. */
     @Test
     void cancellationsAreLimitedByTheRetryBudgetAndItsOverdraft() {
         Node node = warmNode();
--- a/src/test/java/maplerail/SlowStartTest.java
+++ b/src/test/java/maplerail/SlowStartTest.java
@@ -89,8 +89,8 @@
     void coldEnginesRelieveTheFewWarmOnes(int gateways) {
         double arrivalIntervalMs = 12.5;
         List<ColdRead> cold = simulate(gateways, 17, 7, arrivalIntervalMs, REPLACED_MS + 6_000);
-        double late = cold.stream().filter(read -> read.atMs() >= REPLACED_MS + 2_000).count();
-        double share = late / (4_000 / arrivalIntervalMs);
+        double lateReads = cold.stream().filter(read -> read.atMs() >= REPLACED_MS + 2_000).count();
+        double share = lateReads / (4_000 / arrivalIntervalMs);
         // Ten cold engines at 0.58 of their capacity on average, beside seven warm ones: 0.45 of the total capacity.
         assertTrue(share > 0.3 && share < 0.6, "share of the reads that went to cold engines: " + share);
     }
@@ -111,12 +111,12 @@
         List<ColdRead> cold = simulate(gateways, readers, warmLeft, arrivalIntervalMs, REPLACED_MS + 14_000);
         for (ColdRead first : cold) {
             double age = (first.atMs() - REPLACED_MS) / WARM_AFTER_MS;
-            double present = Math.min(1, START_CAPACITY + (1 - START_CAPACITY) * age);
-            double budget = TIP_MULTIPLE * present * capacityPerMs * TIP_WINDOW_MS;
+            double currentShare = Math.min(1, START_CAPACITY + (1 - START_CAPACITY) * age);
+            double budget = TIP_MULTIPLE * currentShare * capacityPerMs * TIP_WINDOW_MS;
             double chance = budget < 30 ? 3 * Math.sqrt(budget) + 3 : 2 * Math.sqrt(budget) + 2;
-            long within = cold.stream().filter(read -> read.engine() == first.engine()
+            long inWindow = cold.stream().filter(read -> read.engine() == first.engine()
                     && read.atMs() >= first.atMs() && read.atMs() < first.atMs() + TIP_WINDOW_MS).count();
-            assertTrue(within <= budget + chance, within + " reads of " + budget + " at " + first);
+            assertTrue(inWindow <= budget + chance, inWindow + " reads of " + budget + " at " + first);
         }
         assertTrue(gateways * calls < 100 || !cold.isEmpty(), "cold engines are used");
     }
@@ -213,8 +213,9 @@
             // Twice what a warm peer gets is its capacity; the settings: 2.5 times, from 0.3 on, warm after 10 s.
             double capacity = 2 * windowMs / (6 * arrivalIntervalMs) * (0.3 + 0.7 * (from - 100_000) / 10_000);
             double budget = 2.5 * Math.min(capacity, 2 * windowMs / (6 * arrivalIntervalMs));
-            long within = sent.stream().filter(at -> at >= from && at < from + windowMs).count();
-            assertTrue(within <= budget + 2 * Math.sqrt(budget) + 2, within + " sends of " + budget + " from " + from);
+            long inWindow = sent.stream().filter(at -> at >= from && at < from + windowMs).count();
+            assertTrue(inWindow <= budget + 2 * Math.sqrt(budget) + 2,
+                    inWindow + " sends of " + budget + " from " + from);
         }
         assertTrue(sent.size() > 3, "it is used as it warms: " + sent.size());
     }
--- a/src/test/java/maplerail/cli/DeclinedWriteIT.java
+++ b/src/test/java/maplerail/cli/DeclinedWriteIT.java
@@ -17,7 +17,7 @@
 
 /**
  * Runs a gateway process with a writer that declines a write in an answer that never ends. The write is over when that
- * answer begins: the time within which the reader's state must be released starts then.
+ * answer starts: the time within which the reader's state must be released starts then.
  */
 class DeclinedWriteIT {
     private static final String LONG_DEADLINE_S = "5.0"; // expires too late to cause the releases under test
@@ -36,7 +36,7 @@
     /**
      * A writer that starts its answer to each write with one text, then sends another one (or nothing) again and again.
      */
-    private StandIn writer(SilentReader reader, String begin, String piece) throws Exception {
+    private StandIn writer(SilentReader reader, String firstText, String piece) throws Exception {
         return new StandIn(exchange -> {
             if (exchange.method.equals("DELETE")) {
                 exchange.reply(204, "");
@@ -44,14 +44,14 @@
             }
             reader.times.out(id(exchange));
             reader.times.declined(id(exchange));
-            exchange.write(begin);
+            exchange.write(firstText);
             while (!testEnded.await(PIECE_INTERVAL_MS, TimeUnit.MILLISECONDS)) exchange.write(piece);
         });
     }
 
-    private void assertReleasedInTime(String begin, String piece, String kind) throws Exception {
+    private void assertReleasedInTime(String firstText, String piece, String kind) throws Exception {
         try (SilentReader reader = new SilentReader(SilentReader::answer);
-                StandIn writer = writer(reader, begin.replace("|", "\r\n"), piece);
+                StandIn writer = writer(reader, firstText.replace("|", "\r\n"), piece);
                 World world = new World().engine("r", "prefill", reader.address(), "in_service").engine("w", "decode",
                         writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
@@ -66,16 +66,16 @@
             "HTTP/1.1 410 Gone|Srv-Decl, lookup",
             "HTTP/1.1 503 Unavailable|Srv-Declined: 1|, repair-order",
             "HTTP/1.1 503 Unavailable|Srv-Declined: 1|, lookup"})
-    void aStateIsReleasedInTimeThoughTheHeadOfTheDeclineStalls(String begin, String kind) throws Exception {
-        assertReleasedInTime(begin, "", kind);
+    void aStateIsReleasedInTimeThoughTheHeadOfTheDeclineStalls(String firstText, String kind) throws Exception {
+        assertReleasedInTime(firstText, "", kind);
     }
 
     /** Further bytes of the answer do not extend the time. */
     @ParameterizedTest
     @CsvSource({"HTTP/1.1 410 Gone|Srv-Declined: 1|X: , repair-order", "HTTP/1.1 503 Unavailable|X: , repair-order",
             "HTTP/1.1 503 Unavailable|X: , lookup"})
-    void aStateIsReleasedInTimeThoughTheHeadOfTheDeclineNeverEnds(String begin, String kind) throws Exception {
-        assertReleasedInTime(begin, "x", kind);
+    void aStateIsReleasedInTimeThoughTheHeadOfTheDeclineNeverEnds(String firstText, String kind) throws Exception {
+        assertReleasedInTime(firstText, "x", kind);
     }
 
     /** The head is complete and announces a body that never arrives. */
@@ -83,7 +83,7 @@
     @CsvSource({"HTTP/1.1 410 Gone|Srv-Declined: 1|Content-Length: 9||, repair-order",
             "HTTP/1.1 503 Unavailable|Srv-Declined: 1|Content-Length: 9||, repair-order",
             "HTTP/1.1 503 Unavailable|Srv-Declined: 1|Content-Length: 9||, lookup"})
-    void aStateIsReleasedInTimeThoughTheBodyOfTheDeclineIsMissing(String begin, String kind) throws Exception {
-        assertReleasedInTime(begin, "", kind);
+    void aStateIsReleasedInTimeThoughTheBodyOfTheDeclineIsMissing(String firstText, String kind) throws Exception {
+        assertReleasedInTime(firstText, "", kind);
     }
 }
--- a/src/test/java/maplerail/cli/FinalAnswerIT.java
+++ b/src/test/java/maplerail/cli/FinalAnswerIT.java
@@ -43,9 +43,9 @@
     Path folder;
 
     /** An answer of an engine that starts with one text and then repeats another one, or stalls if that is empty. */
-    private record StuckAnswer(String begin, String piece) {
+    private record StuckAnswer(String firstText, String piece) {
         void handle(StandIn.Exchange x) throws Exception {
-            x.write(begin);
+            x.write(firstText);
             while (!piece.isEmpty() && !x.isEnded()) {
                 x.write(piece);
                 TimeUnit.MILLISECONDS.sleep(PIECE_INTERVAL_MS);
--- a/src/test/java/maplerail/cli/LostReadIT.java
+++ b/src/test/java/maplerail/cli/LostReadIT.java
@@ -154,7 +154,7 @@
         assertReleasedInTimeAfterDisconnect(readMs);
     }
 
-    /** A read that waits in a queue may still begin within the deadline that the reader was sent. */
+    /** A read that waits in a queue may still start within the deadline that the reader was sent. */
     @ParameterizedTest
     @ValueSource(ints = {2000, 3500})
     void aStateIsReleasedInTimeThoughTheClientDisconnectedLongBeforeTheEndOfTheRead(int readMs) throws Exception {
--- a/src/test/java/maplerail/cli/SlowEngineIT.java
+++ b/src/test/java/maplerail/cli/SlowEngineIT.java
@@ -147,7 +147,7 @@
         }
     }
 
-    /** The state is held from when the answer begins, whether or not the rest of it ever arrives. */
+    /** The state is held from the start of the answer, whether or not the rest of it arrives. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 19\r\n\r\n", "Content-Length: 19\r\n\r\n{\"cached",
             "Transfer-Encoding: chunked\r\n\r\n"})
--- a/src/test/java/maplerail/cli/UnansweredReleaseIT.java
+++ b/src/test/java/maplerail/cli/UnansweredReleaseIT.java
@@ -31,7 +31,7 @@
     private final Set<String> alreadyDeclined = ConcurrentHashMap.newKeySet();
     /** Requests whose second read is in flight, or whose state from that read waits for a writer. */
     private final Set<String> inUse = ConcurrentHashMap.newKeySet();
-    /** Requests that any engine was told to release while they were in use. */
+    /** Requests for which any engine received a release while they were in use. */
     private final List<String> released = Collections.synchronizedList(new ArrayList<>());
 
     private void release(StandIn.Exchange exchange) throws Exception {
@@ -42,10 +42,10 @@
 
     /** A reader. The first one to read a request does not answer that request's releases. */
     private StandIn reader() throws Exception {
-        Set<String> readHere = ConcurrentHashMap.newKeySet();
+        Set<String> readsOfThisReader = ConcurrentHashMap.newKeySet();
         return new StandIn(exchange -> {
             if (exchange.method.equals("DELETE")) {
-                if (readHere.contains(exchange.target.replaceFirst(".*/", ""))) exchange.awaitEnd();
+                if (readsOfThisReader.contains(exchange.target.replaceFirst(".*/", ""))) exchange.awaitEnd();
                 else release(exchange);
                 return;
             }
@@ -53,7 +53,7 @@
             if (id.startsWith("warm")) {
                 exchange.reply(202, "{\"cached_tokens\":0}");
             } else if (alreadyRead.add(id)) {
-                readHere.add(id);
+                readsOfThisReader.add(id);
                 exchange.reply(202, "{\"cached_tokens\":0}");
             } else {
                 inUse.add(id);
--- a/src/test/java/maplerail/core/AbortedReadTest.java
+++ b/src/test/java/maplerail/core/AbortedReadTest.java
@@ -11,7 +11,7 @@
 
 /** Tests the repeated releases of states that an aborted read may leave at its reader. */
 class AbortedReadTest extends ScriptedBroker {
-    /** Guards against a state that stays pinned because its read ended just as it was aborted, or later. */
+    /** Guards against a state that stays held because its read ended just as it was aborted, or later. */
     @Test
     void releasesAreRepeatedAfterAnAbortedRead() {
         submit("a", send(READER));
@@ -23,7 +23,7 @@
         loop.until(60_000);
         double engineDeadlineMs = 1_000 + 5_000;
         double latestReadEndMs = engineDeadlineMs + 1_600;
-        assertThat(releaseTimesMs).as("a read in the queue may begin until the deadline given to its reader")
+        assertThat(releaseTimesMs).as("a read in the queue may start until the deadline given to its reader")
                 .hasSizeBetween(7, 25).allMatch(atMs -> atMs <= latestReadEndMs + 500)
                 .anyMatch(atMs -> atMs > latestReadEndMs);
         assertThat(releases).containsOnly("1/a");
--- a/src/test/java/maplerail/core/BrokerFixture.java
+++ b/src/test/java/maplerail/core/BrokerFixture.java
@@ -36,7 +36,7 @@
     boolean aborted;
     /** Whether attempts count as having no byte written. */
     boolean unsent;
-    /** Whether the answers of attempts count as begun. */
+    /** Whether the answers of attempts count as started. */
     boolean responseStarted;
     /** Whether readers answer releases, after a short delay. */
     boolean answersReleases;
--- a/src/test/java/maplerail/core/LostReadTest.java
+++ b/src/test/java/maplerail/core/LostReadTest.java
@@ -21,7 +21,7 @@
  */
 class LostReadTest {
     private static final double FAR_FUTURE_MS = 1e9;
-    private static final double STEP_MS = 10; // between two tested times at which a state begins to be held
+    private static final double STEP_MS = 10; // between two tested start times of a held state
     private static final double ABORT_DELAY_MS = 100; // from the send to the abort
     private static final double RELEASE_SLACK_MS = 300; // added to the limit by the protocol rules for sockets
 
@@ -37,7 +37,7 @@
         return fixture.lastListener();
     }
 
-    /** Asserts that a state which begins to be held between these times is released within the limit. */
+    /** Asserts that a state that is first held between these times is released within the limit. */
     private void assertReleasedWithin(double limitMs, double fromMs, double untilMs) {
         for (double timeMs = fromMs; timeMs <= untilMs; timeMs += STEP_MS) {
             double heldFromMs = timeMs;
@@ -102,7 +102,7 @@
 
     /**
      * An engine need not stop an aborted read, and does not learn of the abort if its connection has fallen silent. It
-     * refuses a request whose deadline has passed; until then, a read in its queue may begin.
+     * refuses a request whose deadline has passed; until then, a read in its queue may start.
      */
     @ParameterizedTest
     @EnumSource
--- a/src/test/java/maplerail/core/LostWriteTest.java
+++ b/src/test/java/maplerail/core/LostWriteTest.java
@@ -80,7 +80,7 @@
             write.event(new byte[1]);
             write.ended(Outcome.SERVED, 0);
         }
-        assertThat(fixture.releaseTimesMs).as("a stream that has begun has fetched its state").isEmpty();
+        assertThat(fixture.releaseTimesMs).as("a stream that has started has fetched its state").isEmpty();
         startWrite(6);
         double readEndedMs = fixture.loop.now;
         fixture.loop.until(readEndedMs + 1.5 * PIN_LIMIT_MS);
--- a/src/test/java/maplerail/core/WithdrawnAttemptTest.java
+++ b/src/test/java/maplerail/core/WithdrawnAttemptTest.java
@@ -7,7 +7,7 @@
 import maplerail.Router.State;
 import org.junit.jupiter.api.Test;
 
-/** Tests that an attempt without a sent byte is withdrawn when it must no longer begin. */
+/** Tests that an attempt without a sent byte is withdrawn when it must no longer start. */
 class WithdrawnAttemptTest extends ScriptedBroker {
     @Test
     void unsentAttemptsAreWithdrawnOnADrain() {
--- a/src/test/java/maplerail/discovery/ConsulTest.java
+++ b/src/test/java/maplerail/discovery/ConsulTest.java
@@ -43,11 +43,11 @@
 
     @Test
     void engineIdDependsOnTheHostOnly() {
-        EngineList here = platformList("127.0.0.1:80", "in_service");
-        EngineList there = platformList("127.0.0.2:81", "in_service");
-        assertThat(here.members()).isEqualTo(there.members());
-        assertThat(here.members().get(0).engine()).isEqualTo(StableIds.ofEngine("s-5be2a07c"));
-        assertThat(here.members().get(0).zone()).isZero();
+        EngineList first = platformList("127.0.0.1:80", "in_service");
+        EngineList second = platformList("127.0.0.2:81", "in_service");
+        assertThat(first.members()).isEqualTo(second.members());
+        assertThat(first.members().get(0).engine()).isEqualTo(StableIds.ofEngine("s-5be2a07c"));
+        assertThat(first.members().get(0).zone()).isZero();
     }
 
     @ParameterizedTest
--- a/src/test/java/maplerail/front/ClientListenerTest.java
+++ b/src/test/java/maplerail/front/ClientListenerTest.java
@@ -193,8 +193,8 @@
     }
 
     /**
-     * Clients that reconnect all the time hold every place, so that requests wait for one. The deadline that the reader
-     * gets must not exceed what is left.
+     * Clients that reconnect all the time hold every connection slot, so that requests wait for one. The deadline that
+     * the reader gets must not exceed the time left.
      */
     @Test
     void aWaitForAPlaceIsChargedToTheRequest() throws Exception {
--- a/src/test/java/maplerail/net/SlowResponseTest.java
+++ b/src/test/java/maplerail/net/SlowResponseTest.java
@@ -128,7 +128,7 @@
         }
     }
 
-    /** An interim response says that the engine is working, but not for how long. */
+    /** An interim response indicates that the engine is working, but not for how long. */
     @ParameterizedTest
     @ValueSource(ints = {300, 1_200})
     void responseLongAfterAnInterimResponseIsComplete(int afterMs) throws Exception {
--- a/src/test/java/maplerail/policy/DeficitCountersTest.java
+++ b/src/test/java/maplerail/policy/DeficitCountersTest.java
@@ -15,28 +15,28 @@
     @Test
     void growsByAQuantumWhenNoCreditIsLeft() {
         assertThat(reader.credit(CLIENT)).isZero();
-        counters.growIfSpent(CLIENT, 0);
+        counters.replenishIfExhausted(CLIENT, 0);
         assertThat(reader.credit(CLIENT)).isEqualTo(QUANTUM_TOKENS);
         assertThat(reader.credit(OTHER)).isZero();
     }
 
     @Test
     void doesNotGrowWhileCreditIsLeft() {
-        counters.growIfSpent(CLIENT, 1);
+        counters.replenishIfExhausted(CLIENT, 1);
         assertThat(reader.credit(CLIENT)).isZero();
     }
 
     @Test
     void growsByEnoughQuantaToMakeTheCreditPositive() {
         reader.charge(CLIENT, 2.5 * QUANTUM_TOKENS);
-        counters.growIfSpent(CLIENT, reader.credit(CLIENT));
+        counters.replenishIfExhausted(CLIENT, reader.credit(CLIENT));
         assertThat(reader.credit(CLIENT)).isEqualTo(0.5 * QUANTUM_TOKENS);
     }
 
     @Test
     void chargesOnlyTheGivenClientAndReader() {
-        counters.growIfSpent(CLIENT, 0);
-        counters.growIfSpent(OTHER, 0);
+        counters.replenishIfExhausted(CLIENT, 0);
+        counters.replenishIfExhausted(OTHER, 0);
         DeficitCounters.ReaderCounters second = counters.newReader();
         reader.charge(CLIENT, 100);
         assertThat(reader.credit(CLIENT)).isEqualTo(QUANTUM_TOKENS - 100);
@@ -47,7 +47,7 @@
     @Test
     void givesANewReaderOneQuantumWhateverWasGrantedBefore() {
         reader.charge(CLIENT, 10 * QUANTUM_TOKENS);
-        counters.growIfSpent(CLIENT, reader.credit(CLIENT));
+        counters.replenishIfExhausted(CLIENT, reader.credit(CLIENT));
         assertThat(counters.newReader().credit(CLIENT)).isEqualTo(QUANTUM_TOKENS);
     }
 }
--- a/src/test/java/maplerail/policy/EngineAgeTest.java
+++ b/src/test/java/maplerail/policy/EngineAgeTest.java
@@ -23,7 +23,7 @@
         return new Member(engine, State.READY, stampMs, 0, 0, 1, 0);
     }
 
-    /** After an outage of discovery, a report comes late: the engine has warmed up meanwhile. */
+    /** After an outage of discovery, a report arrives late: the engine has warmed up meanwhile. */
     @Test
     void aReportWithAnExtraDelayMeansAnOlderEngineWhateverTheClocks() {
         report(ListKind.WHOLE, 1_000);
--- a/src/test/java/maplerail/policy/RetryBudgetTest.java
+++ b/src/test/java/maplerail/policy/RetryBudgetTest.java
@@ -44,9 +44,9 @@
 
     @Test
     void mayBeOverdrawnByFiveRetriesThatArrivalsPayBack() {
-        int taken = 0;
-        for (; budget.allowsOverdraft(); taken++) budget.overdraw();
-        assertThat(taken).isEqualTo(6); // the one saved and five more
+        int retriesTaken = 0;
+        for (; budget.allowsOverdraft(); retriesTaken++) budget.overdraw();
+        assertThat(retriesTaken).isEqualTo(6); // the one saved and five more
         arrivals(29, 100); // 5.8 retries
         assertThat(budget.allowsRetry()).isFalse();
         arrivals(2, 100); // 6.2 retries
