--- a/src/test/java/maplerail/LogicTest.java
+++ b/src/test/java/maplerail/LogicTest.java
@@ -250,7 +250,7 @@
         assertEquals(1, node.finalAnswers(1));
     }
 
-    /** A reader under overload reads cancelled prompts all the same, so 100 nodes must not save up ten cancellations each. */
+    /** A reader under overload reads cancelled prompts too, so 100 nodes must not save up ten cancellations each. */
     @Test
     void aNodeWithFewArrivalsCancelsFewReads() {
         Node node = new Node();
@@ -618,7 +618,7 @@
         assertNotNull(node.lastSend(), "the old list stays in use");
     }
 
-    /** At whatever stage a request is when its client leaves, nothing more is sent for it. */
+    /** Whatever stage a request has reached when its client leaves, nothing more is sent for it. */
     @ParameterizedTest
     @ValueSource(strings = {"waits for a reader", "reads", "waits for a writer", "writes", "waits to retry"})
     void nothingIsSentForAClientThatHasLeft(String stage) {
--- a/src/test/java/maplerail/SlowStartTest.java
+++ b/src/test/java/maplerail/SlowStartTest.java
@@ -22,7 +22,7 @@
 class SlowStartTest {
     private static final double START_MS = 100_000;
     private static final double REPLACED_MS = 120_000;
-    /** These as in the settings of {@link Node}. */
+    /** The same values as in the settings of {@link Node}. */
     private static final double START_CAPACITY = 0.3;
     private static final double WARM_AFTER_MS = 10_000;
     private static final double TIP_MULTIPLE = 2.5;
@@ -210,7 +210,8 @@
             if (node.lastSend() != null) node.serve(id);
         }
         for (double from : sent) {
-            // Twice what a warm peer gets is its capacity; the settings: 2.5 times, from 0.3 on, warm after 10 s.
+            // Its full capacity is twice what a warm peer gets. By the settings, its budget is 2.5 times its current
+            // capacity, which starts at 0.3 of the full one and reaches it after 10 s.
             double capacity = 2 * windowMs / (6 * arrivalIntervalMs) * (0.3 + 0.7 * (from - 100_000) / 10_000);
             double budget = 2.5 * Math.min(capacity, 2 * windowMs / (6 * arrivalIntervalMs));
             long inWindow = sent.stream().filter(at -> at >= from && at < from + windowMs).count();
--- a/src/test/java/maplerail/cli/JarIT.java
+++ b/src/test/java/maplerail/cli/JarIT.java
@@ -125,7 +125,10 @@
         }
     }
 
-    /** A file that is unreadable or incomplete for a moment must not leave a gateway with a discovery that is gone. */
+    /**
+     * A file that is unreadable or incomplete for a moment must not leave a gateway with a discovery address that no
+     * longer answers.
+     */
     @Test
     void aConfigurationThatCannotBeReadAtTheSignalIsRetried() throws Exception {
         try (StandIn reader = World.reader();
--- a/src/test/java/maplerail/cli/LostReadIT.java
+++ b/src/test/java/maplerail/cli/LostReadIT.java
@@ -118,7 +118,7 @@
         assertReleasedInTimeAfterPartOfAnswer(partOfAnswer);
     }
 
-    /** A status without a complete body does not stop the clock. */
+    /** A status without a complete body does not stop the time limit. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n",
             "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_"})
--- a/src/test/java/maplerail/cli/UnansweredReleaseIT.java
+++ b/src/test/java/maplerail/cli/UnansweredReleaseIT.java
@@ -96,7 +96,8 @@
             for (String id : List.of("a1", "a2", "a3")) {
                 assertThat(gateway.say(World.request(id, "lookup", "5.0"))).contains("[DONE]");
             }
-            assertThat(released).as("requests released while their second read was out or its state waited for")
+            assertThat(released)
+                    .as("requests released while their second read was in flight or its state was waited for")
                     .isEmpty();
         }
     }
--- a/src/test/java/maplerail/core/LostWriteTest.java
+++ b/src/test/java/maplerail/core/LostWriteTest.java
@@ -88,7 +88,8 @@
     }
 
     /**
-     * Neither a cancelled write nor a connection that failed proves that the write was in flight: the lease runs on.
+     * Neither a cancelled write nor a connection that failed proves that the write was in flight: the lease continues to
+     * run.
      */
     @ParameterizedTest
     @EnumSource(names = {"CANCELLED", "TIMEOUT", "RESET", "UNREACHABLE"})
--- a/src/test/java/maplerail/front/PlatformTest.java
+++ b/src/test/java/maplerail/front/PlatformTest.java
@@ -301,7 +301,7 @@
         }
     }
 
-    /** Holds however many bytes of the next requests follow, and whether or not those are ever complete. */
+    /** Holds for any number of bytes of the next requests, whether or not those are ever complete. */
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250, 1_000})
     void pipelinedBytesDoNotDelayTheAnswer(int pipelinedBytes) throws Exception {
--- a/src/test/java/maplerail/net/XnioLoopTest.java
+++ b/src/test/java/maplerail/net/XnioLoopTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Guards against a loop that loses track of which input it has read, which would take every request for an old one. */
+/** Guards against a loop that loses track of which input it has read, which would treat every request as an old one. */
 class XnioLoopTest {
     private static final double STALL_MS = 200;
 
