--- a/src/main/java/maplerail/Logic.java
+++ b/src/main/java/maplerail/Logic.java
@@ -385,7 +385,7 @@
                 engineClock.forget(member.engine());
                 continue;
             }
-            // A restarted process holds no state, and what was learned about the earlier one no longer applies.
+            // A restarted process holds no state, and what was learned about the earlier one is obsolete.
             double startedMs = engineClock.startedMs(member.engine());
             if (engine == null || startedMs != engine.startedMs) {
                 engine = new Engine(member.engine(), startedMs);
@@ -882,7 +882,7 @@
                 nowMs) == Reason.ALLOWED;
     }
 
-    /** Whether another engine in service could be sent the work that a writer has started or may have started. */
+    /** Whether another engine in service could be sent the work that a writer has, or may have, started. */
     private boolean hasAlternativeWriter(Request request, Engine writer) {
         return request.requestClass.repeat() == Repeat.PURE || engines.values().stream()
                 .filter(repeatAllowed(request)).anyMatch(e -> e != writer && e.ready && e.role != Role.READ);
@@ -1121,7 +1121,8 @@
 
     /**
      * Whether a request's first token is expected near the goal of its class or of a class with higher
-     * priority. Guards against a lasting lack of capacity; may refuse requests needlessly during a short burst.
+     * priority. Guards against a lasting lack of capacity; may refuse requests needlessly during a short
+     * burst.
      */
     private boolean isOverloaded(Request request) {
         Engine reader = chooseReader(request, null);
@@ -1133,10 +1134,11 @@
         double allReadersMs = isRarelyUsed(reader) ? pooledWaitMs(readWaits) : 0;
         double queueMs = Math.max(readerMs, allReadersMs) + Math.max(medianMs, pooledWaitMs(firstTokenWaits));
         double limitMs = Math.min(request.goalAtMs, answerByMs(request)) - nowMs;
-        // A long prompt takes long even without a queue: the time of its own read does not indicate an overload.
+        // A long prompt takes long even without a queue: the time of its own read is no sign of overload.
         double expectedMs = queueMs
                 + (unqueuedPace < Bounds.MAX ? unqueuedPace * neededTokens(request, reader) : 0);
-        boolean overloaded = queueMs > ADMISSION_QUEUE_SHARE * limitMs && expectedMs > ADMISSION_GOAL_SHARE * limitMs;
+        boolean overloaded = queueMs > ADMISSION_QUEUE_SHARE * limitMs
+                && expectedMs > ADMISSION_GOAL_SHARE * limitMs;
         for (RequestClass other : settings.classes()) {
             if (other.priority() > request.priority) limitMs = Math.min(limitMs, other.firstTokenGoalMs());
         }
@@ -1180,8 +1182,8 @@
     }
 
     /**
-     * An engine's wait, faded since its last success. Guards against admission that stays closed after an overload:
-     * once closed, it would get no new samples.
+     * An engine's wait, faded since its last success. Guards against admission that stays closed after an
+     * overload: once closed, it would get no new samples.
      */
     private double fadingWaitMs(Engine engine) {
         return Math.max(oldestWaitMs(engine),
