--- a/src/main/java/maplerail/Logic.java
+++ b/src/main/java/maplerail/Logic.java
@@ -60,14 +60,14 @@
     private static final double OWNER_SPREAD_FACTOR = 2;
     /** Arrivals added to those counted, so that a node with few arrivals gives a prefix few owners. */
     private static final double OWNER_PRIOR_ARRIVALS = 8;
-    /** Share of the goal that a matched reader may take before another reader is considered. */
+    /** Share of the time left to the goal that a matched reader may take before another is considered. */
     private static final double SPILL_GOAL_SHARE = 0.3;
 
     // ---- Choice of a writer, in shares of its memory ----
 
-    /** Penalty for a writer in another cell of the reader's zone. */
+    /** Penalty for a writer in the reader's zone, but not in the cell that {@link CellShares} prefers. */
     private static final double OTHER_CELL_PENALTY = 0.04;
-    /** Penalty for a writer in another zone. */
+    /** Penalty for a writer in another zone, unless its cell is the preferred one. */
     private static final double OTHER_ZONE_PENALTY = 0.08;
     /** Penalty for a wait as long as the goal: it reveals streams that other nodes have sent there. */
     private static final double WAIT_PENALTY = 0.3;
@@ -217,7 +217,7 @@
         final Engine engine;
         final boolean isRead;
         final double sentMs;
-        /** Expected work, in tokens for a read; 1 for a write. */
+        /** Expected work: for a read its fixed cost, its tokens and those queued before it; 1 for a write. */
         double cost;
         double uncachedTokens;
         double matchedTokens;
@@ -332,7 +332,10 @@
     private final AnswerRates answerRates = new AnswerRates(RATE_FADE_MS);
     /** Recent waits for a first token at any writer; a full writer counts as a wait as long as the goal. */
     private final RecentMean firstTokenWaits = new RecentMean(MAX_SAMPLES, SAMPLE_FADE_MS);
-    /** Recent waits of reads at any reader, beyond the time that they take at the unqueued pace. */
+    /**
+     * Recent waits of reads at any reader, beyond the time that they take at the unqueued pace; a full reader
+     * counts as a wait as long as the goal.
+     */
     private final RecentMean readWaits = new RecentMean(MAX_SAMPLES, SAMPLE_FADE_MS);
     /** Lowest recent pace of a read, taken as the pace without queues. */
     private double unqueuedPace = Double.POSITIVE_INFINITY;
@@ -546,7 +549,10 @@
         return expectedReadMs(request, other) < (slow ? chosenMs : chosenMs / 2) ? other : chosen;
     }
 
-    /** By this node's reads, or by the age of the oldest: that reveals other nodes' queues, and silence. */
+    /**
+     * Expected time to the end of a read at a reader: an estimate from this node's reads queued there, or the
+     * age of the oldest of them if that is longer. The age reveals other nodes' queues and a silent reader.
+     */
     private double expectedReadMs(Request request, Engine reader) {
         return Math.max(readMs(reader, reader.queuedTokens + neededTokens(request, reader)),
                 oldestWaitMs(reader));
@@ -882,13 +888,19 @@
                 nowMs) == Reason.ALLOWED;
     }
 
-    /** Whether another engine in service could be sent the work that a writer has begun or may have begun. */
+    /**
+     * Whether another engine in service could be sent the work that a writer has begun or may have begun.
+     * Pure work may go to any engine, so none is looked for.
+     */
     private boolean hasAlternativeWriter(Request request, Engine writer) {
         return request.requestClass.repeat() == Repeat.PURE || engines.values().stream()
                 .filter(repeatAllowed(request)).anyMatch(e -> e != writer && e.ready && e.role != Role.READ);
     }
 
-    /** Whether a writer, and a reader if one is needed, is in service to which the request may be sent. */
+    /**
+     * Whether a writer, and a reader if one is needed, is in service to which the request may be sent.
+     * Without a limit on repeats, a request can always continue.
+     */
     private boolean canContinue(Request request) {
         if (latestRepeatMs(request) == Double.POSITIVE_INFINITY) return true;
         List<Engine> allowed = engines.values().stream()
@@ -944,7 +956,10 @@
         return OVERDUE_FACTOR * Math.max(expectedMs, wholeMs / 2);
     }
 
-    /** Sends an attempt elsewhere that has been in flight far longer than its peers take. */
+    /**
+     * Sends an attempt elsewhere that has been in flight far longer than its peers take. Guards against
+     * silent engines, outliers and lost answers.
+     */
     private void onOverdue(Request request, int number) {
         Attempt attempt = number < request.attempts.size() ? request.attempts.get(number) : null;
         boolean answered = request.phase == Phase.DONE || request.phase == Phase.STREAMING;
@@ -1079,7 +1094,10 @@
         if (request.phase == Phase.READING) sendRead(request, null);
     }
 
-    /** The lease of a state is about to end while the state waits for a writer or its write is silent. */
+    /**
+     * Handles the end of the lease on a state, or the earlier time at which the state is reclaimed: gives the
+     * request up if it still waits for a writer, and reclaims the state from a silent write.
+     */
     private void onLeaseEnd(Request request, int number) {
         boolean answered = request.phase == Phase.DONE || request.phase == Phase.STREAMING;
         if (answered || !request.held || request.holder == null) return;
