--- a/src/main/java/maplerail/Router.java
+++ b/src/main/java/maplerail/Router.java
@@ -45,7 +45,7 @@
     /**
      * An engine as listed.
      *
-     * @param startedMs when it started, by the clock that stamped the list; 0 if it started long ago
+     * @param startedMs when it started, by a wall clock that may differ from the node's clock; 0 if long ago
      * @param zone its zone, or {@link #UNKNOWN_PLACE}
      * @param cell its cell, or {@link #UNKNOWN_PLACE}
      * @param kind its place in {@link Settings#kinds}
@@ -71,7 +71,7 @@
      * @param tenant its place in {@link Settings#tenants}
      * @param session 0 for none
      * @param prefix 0 for none
-     * @param hintMs expected streaming time, 0 for no hint
+     * @param hintMs expected streaming time at the class's goal for each token, 0 for no hint
      */
     record Arrival(long id, int kind, int tenant, long session, double promptTokens, long prefix,
             double prefixTokens, double budgetMs, double maxOutput, double hintMs, boolean resumed)
@@ -125,7 +125,7 @@
         UNKNOWN_CLASS,
         /** Its first token is expected too late, or it would delay work of higher priority. */
         OVERLOAD,
-        /** Its deadline has come. */
+        /** Its client is about to stop waiting, as its deadline is close. */
         DEADLINE,
         /** It has had all attempts that the settings allow. */
         ATTEMPTS_SPENT,
