--- a/src/main/java/maplerail/policy/CellShares.java
+++ b/src/main/java/maplerail/policy/CellShares.java
@@ -17,8 +17,8 @@
 
     /**
      * The cell that counts as near to a reader: the reader's own cell, or, where that has few writers, sometimes another
-     * one, so often that all writers get the same load. Guards against nodes that never see the writers full; harms where
-     * the cells' readers have unequal loads.
+     * one drawn at random, so that all writers get the same load. Guards against nodes that never see the writers full;
+     * harms where the cells' readers have unequal loads.
      */
     public int nearCell(int readerCell, SplittableRandom random) {
         if (random.nextDouble() * share(readerCell, readers) >= -surplus(readerCell)) return readerCell;
--- a/src/main/java/maplerail/policy/StateLease.java
+++ b/src/main/java/maplerail/policy/StateLease.java
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Until when the state is held for a write that has been silent since it was sent: until the silence is unusual, but
-     * no later than a margin before the lease expires. That is the limit too where writers usually take as long as the
-     * term.
+     * Until when the state is held for a write that has been silent since it was sent: until the silence is unusual and
+     * a minimum share of the term has passed, but no later than a margin before the lease expires. That is the limit too
+     * where writers usually take as long as the term.
      *
      * @param usualWaitMs usual wait for a first token, NaN if unknown
      */
