--- a/src/main/java/maplerail/core/Broker.java
+++ b/src/main/java/maplerail/core/Broker.java
@@ -52,7 +52,7 @@
         runner.connect(decisions, this::onCallerDisconnected);
     }
 
-    /** Accepts a request. Its caller gets exactly one final answer in any case. */
+    /** Accepts a request. Its caller gets exactly one final answer in any case, unless it disconnects before. */
     public RequestHandle submit(ServiceRequest request, Caller caller) {
         ActiveRequest active = admission.admit(request, caller);
         if (active == null) {
@@ -160,7 +160,7 @@
         active.caller.fail(reason);
     }
 
-    /** Fails a request that the module has not answered in time. */
+    /** Fails a request that the module has not answered in time. Guards against a late answer if the module fails. */
     private void onDeadlineMissed(ActiveRequest active) {
         if (active.answered || active.winner != null) return;
         fail(active.number, Why.DEADLINE, Router.EndReason.DEADLINE);
--- a/src/main/java/maplerail/core/Caller.java
+++ b/src/main/java/maplerail/core/Caller.java
@@ -1,8 +1,8 @@
 package maplerail.core;
 
 /**
- * Receives the answer to a request: exactly one of {@link #end}, {@link #broken}, {@link #refuse} and {@link #fail}.
- * Events precede only end or broken.
+ * Receives the answer to a request: exactly one of {@link #end}, {@link #broken}, {@link #refuse} and {@link #fail}, or
+ * none of them if it disconnects before. Events precede only end or broken.
  */
 public interface Caller {
     /** Reason why a request was not served. */
--- a/src/main/java/maplerail/core/EngineTransport.java
+++ b/src/main/java/maplerail/core/EngineTransport.java
@@ -7,8 +7,8 @@
 /** Sends attempts and releases to engines. It must never send an attempt twice on its own. */
 public interface EngineTransport {
     /**
-     * Sends one attempt. The listener gets exactly one {@code rejected} or {@code ended}, never before this call
-     * returns.
+     * Sends one attempt. Unless the attempt is aborted, the listener gets exactly one {@code rejected} or {@code ended},
+     * never before this call returns.
      *
      * @param mayBegin asked right before the first byte is written if the attempt had to wait for its connection
      */
