--- a/src/main/java/maplerail/core/HeldStates.java
+++ b/src/main/java/maplerail/core/HeldStates.java
@@ -61,7 +61,10 @@
         this.logLimit = new LogRateLimiter(loop);
     }
 
-    /** A reader reported that it holds a state. The lease begins at the earliest time its answer can have arrived. */
+    /**
+     * A reader reported that it holds a state. The lease begins at the earliest time at which its answer can have
+     * arrived, as the answer may have waited unread.
+     */
     void onStateHeld(ActiveRequest active, long engine) {
         StateLease lease = new StateLease(leaseTermMs, loop.inputArrivedAfterMs());
         active.leases.put(engine, lease);
@@ -151,7 +154,8 @@
     }
 
     /**
-     * Logs a late first release after an aborted read, whose state has no lease and is released after later attempts.
+     * Logs a late first release after an aborted read. The state that such a read may leave has no lease and is not
+     * released before the attempts that followed have ended.
      */
     private void logLateRelease(ActiveRequest active, long engine) {
         double sinceAbortMs = loop.nowMs() - active.abortedReadTimesMs.getOrDefault(engine, loop.nowMs());
--- a/src/main/java/maplerail/core/RequestRegistry.java
+++ b/src/main/java/maplerail/core/RequestRegistry.java
@@ -51,7 +51,8 @@
     }
 
     /**
-     * Marks a request as answered. Returns true the first time only; that call's caller gives the final answer, if any.
+     * Marks a request as answered. Returns true the first time only; that call's caller gives the final answer, or none
+     * if the client no longer waits.
      */
     boolean claimFinalAnswer(ActiveRequest active) {
         if (active.answered) return false;
@@ -67,7 +68,8 @@
     }
 
     /**
-     * Releases states that are no longer needed and removes the request if it is done. Called when attempts have ended.
+     * Releases states that are no longer needed, such as those that aborted reads may have left, and removes the request
+     * if it is done. Called when attempts have ended.
      */
     void settle(ActiveRequest active) {
         if (active.hasAttemptInFlight()) return;
