--- a/src/main/java/maplerail/core/ServiceCounters.java
+++ b/src/main/java/maplerail/core/ServiceCounters.java
@@ -6,7 +6,8 @@
 
 /**
  * Counts events, identified by the constants of enums such as {@link RuleMonitor.Breach} or
- * {@link maplerail.Router.Outcome}. All counts are logged in one line periodically and at exit if any has changed.
+ * {@link maplerail.Router.Outcome}. All counts are logged in one line at exit, if any has changed, and by the first event
+ * counted after each log interval.
  */
 public final class ServiceCounters {
     private static final double LOG_INTERVAL_MS = 10_000;
--- a/src/main/java/maplerail/core/ServiceRequest.java
+++ b/src/main/java/maplerail/core/ServiceRequest.java
@@ -8,7 +8,8 @@
  * @param tenant index of the tenant in the settings
  * @param budgetMs how long the caller waits, from when it sent the request
  * @param payloadBytes size of the payload, in bytes
- * @param sentMs earliest time on the loop's clock at which the request can have been sent; NaN for when it is accepted
+ * @param sentMs earliest time on the loop's clock at which the request can have been sent; NaN if the budget starts when
+ *     the request is accepted
  */
 public record ServiceRequest(String id, int kind, int tenant, long session, double promptTokens, long prefix,
         double prefixTokens, double budgetMs, double maxOutputTokens, double hintMs, boolean resumed, int payloadBytes,
