--- a/src/test/java/maplerail/FailoverTest.java
+++ b/src/test/java/maplerail/FailoverTest.java
@@ -418,7 +418,10 @@
         assertEquals(healthy, node.lastSend().engine());
     }
 
-    /** Guards against endless reads at a reader that is cut off from the writers, which find no state either. */
+    /**
+     * A writer finds no state either if the reader is cut off from it. Guards against a request that is read at such a
+     * reader again and again.
+     */
     @Test
     void aMissingStateIsReadAgainAtAnotherReader() {
         Node node = smallFleet();
--- a/src/test/java/maplerail/LogicTest.java
+++ b/src/test/java/maplerail/LogicTest.java
@@ -76,7 +76,10 @@
         assertEquals(Set.of(1L, 2L, 3L), owners);
     }
 
-    /** Guards against a first arrival at a node with few arrivals counting as a hot prefix: each further owner reads it again. */
+    /**
+     * Guards against a prefix that counts as hot at its first arrival at a node with few arrivals: each further owner
+     * would have to read it again.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {600, 9_000})
     void aRarePrefixHasOneOwnerAmongNodesWithFewArrivals(double tokens) {
--- a/src/test/java/maplerail/LostReadAnswerTest.java
+++ b/src/test/java/maplerail/LostReadAnswerTest.java
@@ -66,7 +66,10 @@
         assertThat(node.actions).contains(new Cancel(101, 0));
     }
 
-    /** Guards against an overload, which looks like lost answers, that is increased by reads that are sent again. */
+    /**
+     * An overload looks the same as lost answers. Guards against cancelled reads that are sent again and add to the
+     * overload.
+     */
     @Test
     void cancellationsAreLimitedByTheRetryBudgetAndItsOverdraft() {
         Node node = warmNode();
--- a/src/test/java/maplerail/SlowStartTest.java
+++ b/src/test/java/maplerail/SlowStartTest.java
@@ -219,7 +219,10 @@
         assertTrue(sent.size() > 3, "it is used as it warms: " + sent.size());
     }
 
-    /** Guards against a cold budget that counts the attempts which full warm engines turn away as answers. */
+    /**
+     * Guards against a rate of answers that includes the attempts which full warm engines turn away: it would raise the
+     * limit on sends to cold engines.
+     */
     @Test
     void fullAnswersOfWarmEnginesDoNotFillTheColdBudget() {
         Node node = new Node();
