--- a/src/test/java/maplerail/LostReadAnswerTest.java
+++ b/src/test/java/maplerail/LostReadAnswerTest.java
@@ -66,7 +66,10 @@
         assertThat(node.actions).contains(new Cancel(101, 0));
     }
 
-    /** Guards against retried reads that add to an overload, which can be mistaken for lost answers. */
+    /**
+     * An overload looks the same as lost answers. Guards against cancelled reads that are sent again and add to the
+     * overload.
+     */
     @Test
     void cancellationsAreLimitedByTheRetryBudgetAndItsOverdraft() {
         Node node = warmNode();
