--- a/src/main/java/maplerail/net/ConnectionPool.java
+++ b/src/main/java/maplerail/net/ConnectionPool.java
@@ -38,8 +38,9 @@
     private static final double LOCAL_FAULT_PAUSE_MS = 20;
     private static final double LOCAL_FAULT_LOG_INTERVAL_MS = 1_000;
     /**
-     * Longest time for which received input may have been unread when an attempt starts. Together with the drain grace
-     * period it has to be short.
+     * Longest time for which received input may be unread when an attempt starts; above it, the input is read first. A
+     * notice that the engine drains may be part of that input, so this time has to be short beside the grace period of
+     * a drain.
      */
     private static final double MAX_UNREAD_MS = 75;
     private static final OptionMap SOCKET_OPTIONS = OptionMap.builder().set(Options.TCP_NODELAY, true).getMap();
@@ -234,7 +235,7 @@
             stream = future.get();
         } catch (IOException e) {
             if (ConnectFault.isLocal(e) && !call.done()) retryConnect(address, call, e);
-            else call.fail(); // the peer refused the connection
+            else call.fail(); // refused or unreachable, or the call is already done
             startQueued(address);
             return;
         } catch (RuntimeException e) {
