--- a/src/main/java/maplerail/net/Call.java
+++ b/src/main/java/maplerail/net/Call.java
@@ -17,8 +17,8 @@
 public final class Call {
     private static final Logger LOG = LoggerFactory.getLogger(Call.class);
     /**
-     * Longest silence after the last byte of an incomplete head. The operating system retransmits a lost packet after
-     * 200 ms or more.
+     * Longest silence after the last byte of an incomplete head. It allows for a lost packet, which the operating
+     * system retransmits after 200 ms or more.
      */
     private static final double MAX_HEAD_SILENCE_MS = 400;
 
