--- a/src/main/java/maplerail/net/ReleaseCall.java
+++ b/src/main/java/maplerail/net/ReleaseCall.java
@@ -13,8 +13,8 @@
 
 /**
  * A release, which may be sent any number of times without harm. The time limit for its arrival keeps running while an
- * idle connection is silent or a new one is not established. A try that is not answered soon is therefore followed by
- * another on a new connection while the earlier one is still in flight; the first response ends them all.
+ * idle connection is silent or a new one is still being established. A try that is not answered soon is therefore
+ * followed by another on a new connection while the earlier one is still in flight; the first response ends them all.
  */
 final class ReleaseCall {
     /** Delay from the first try to the second: several times what a response usually takes. */
