--- a/src/main/java/maplerail/net/Outcomes.java
+++ b/src/main/java/maplerail/net/Outcomes.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Returns true if the status says that the request itself is invalid, rather than that the engine failed or that an
-     * earlier request is the cause.
+     * Returns true if the status says that the request itself is invalid, rather than that the engine failed or that
+     * the result of an earlier request (such as a held state) is missing.
      */
     static boolean isInvalidRequest(int status) {
         return status >= 400 && status < 500 && status != 408 && status != 410 && status != 429;
