--- a/src/main/java/maplerail/front/platform/Answer.java
+++ b/src/main/java/maplerail/front/platform/Answer.java
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Marks the request as finished: nothing more is sent for it. */
+    /** Marks the request as finished: later events and answers for it are ignored. */
     private void finish() {
         finished = true;
         if (exchange.getConnection() instanceof HttpServerConnection connection) pipelined.release(connection);
