--- a/src/main/java/maplerail/discovery/BackOff.java
+++ b/src/main/java/maplerail/discovery/BackOff.java
@@ -44,7 +44,7 @@
         return nextMs;
     }
 
-    /** Resets the window after a call that was not refused. */
+    /** Resets the window, after discovery has sent a valid list or the agent was switched. */
     void reset() {
         windowMs = initialWindowMs;
     }
