--- a/src/main/java/maplerail/cli/Gateway.java
+++ b/src/main/java/maplerail/cli/Gateway.java
@@ -134,7 +134,7 @@
 
     /**
      * Starts to listen and serve. The gateway is ready as soon as it has a list of engines; one from an earlier run
-     * that may be outdated has to be confirmed first.
+     * that may be outdated has to be confirmed first, unless the agent does not answer within a time limit.
      */
     public void start() throws IOException {
         loop.execute(() -> {
