--- a/src/test/java/maplerail/net/ConnectionPoolTest.java
+++ b/src/test/java/maplerail/net/ConnectionPoolTest.java
@@ -253,7 +253,10 @@
         }
     }
 
-    /** After the whole process was suspended, timers are due before established connections are reported. */
+    /**
+     * After a pause of the whole process, such as during its start, timers are due before established connections are
+     * reported.
+     */
     @Test
     void connectionEstablishedDuringALoopStallIsUsed() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
