--- a/src/test/java/maplerail/discovery/PlatformWatchTest.java
+++ b/src/test/java/maplerail/discovery/PlatformWatchTest.java
@@ -193,7 +193,7 @@
 
     /**
      * Guards against a failure found on the large herd day: a client reached a restarted gateway before its agent's
-     * response did.
+     * response did. Its request must not be sent to an engine that has begun to drain in the meantime.
      */
     @Test
     void requestBeforeTheFirstAgentResponseWaitsForTheList() throws Exception {
