--- a/src/test/java/maplerail/cli/HeldStateIT.java
+++ b/src/test/java/maplerail/cli/HeldStateIT.java
@@ -89,7 +89,7 @@
         }
     }
 
-    /** The time also counts while connections to one writer are not established and while another one is stopped. */
+    /** The time counts while one writer accepts no connection and another has received the write but is stopped. */
     @Test
     void aStateIsReleasedInTimeThoughItsRequestMovesBetweenWriters() throws Exception {
         try (StandIn reader = reader();
