--- a/src/test/java/maplerail/front/PlatformTest.java
+++ b/src/test/java/maplerail/front/PlatformTest.java
@@ -301,7 +301,7 @@
         }
     }
 
-    /** Holds however many bytes of the next requests follow, and whether or not those are ever complete. */
+    /** Any number of bytes of the next requests may follow, whether or not those requests are ever complete. */
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250, 1_000})
     void pipelinedBytesDoNotDelayTheAnswer(int pipelinedBytes) throws Exception {
@@ -323,7 +323,7 @@
         }
     }
 
-    /** Holds as well for an answer that the gateway makes itself. */
+    /** The same holds for an answer that the gateway makes itself. */
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250, 1_000})
     void pipelinedBytesDoNotDelayARefusal(int pipelinedBytes) throws Exception {
@@ -335,7 +335,7 @@
         }
     }
 
-    /** Holds as well for a request without a body. */
+    /** The same holds for a request without a body. */
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250})
     void pipelinedBytesDoNotDelayTheReadinessCheck(int pipelinedBytes) throws Exception {
