--- a/src/main/java/maplerail/front/ClientListener.java
+++ b/src/main/java/maplerail/front/ClientListener.java
@@ -35,7 +35,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
     /** Within this time of the connection's start, or of a later request's first byte, a request must be complete. */
     private static final double RECEIVE_TIMEOUT_MS = 2_500;
-    /** Time without a byte after which a request that may take longer than that counts as stalled. */
+    /**
+     * Time without a byte after which a request counts as stalled that may take longer than {@link #RECEIVE_TIMEOUT_MS}
+     * and has exceeded it.
+     */
     private static final double STALL_TIMEOUT_MS = 1_000;
     private static final double MIN_IDLE_MS = 2_000; // for which a client may rely on an idle connection
     /** For a new connection while few places are left, and for an idle one while none is. */
@@ -156,8 +159,8 @@
 
     /**
      * Records that the head of a request is complete. The connection is idle again once the request is answered to the
-     * last byte, unless pipelined bytes follow it: the server may hold the whole next request already, so that no
-     * further byte may arrive.
+     * last byte, unless pipelined bytes follow it: the server may hold the whole next request already, in which
+     * case no further byte need arrive.
      */
     public void onRequestHead(HttpServerExchange exchange) {
         ClientConnection starting = find(exchange);
