--- a/src/main/java/maplerail/net/Call.java
+++ b/src/main/java/maplerail/net/Call.java
@@ -274,8 +274,8 @@
     }
 
     /**
-     * Completes the response. A connection is not reused if it carried more bytes than the response, or if the request
-     * was not written in full.
+     * Completes the response. A connection is not reused if it carried more bytes than the response, if the response
+     * rules that out, or if the request was not written in full.
      *
      * @param noSurplus whether the last read ended with the response
      */
