--- a/src/test/java/maplerail/soak/Daemon.java
+++ b/src/test/java/maplerail/soak/DaemonThreads.java
@@ -3,23 +3,23 @@
 import java.io.Closeable;
 import java.io.IOException;
 
-/** Threads of the soak, which end when their sockets do. */
-final class Daemon {
-    private Daemon() {}
+/** Starts the daemon threads of the soak; each ends when its socket is closed. */
+final class DaemonThreads {
+    private DaemonThreads() {}
 
-    /** What a thread does. */
-    interface Work {
+    /** The body of a thread. */
+    interface Task {
         void run() throws Exception;
     }
 
-    static void start(String name, Work work) {
+    static void start(String name, Task task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (IOException e) {
-                return; // a socket went away: what matters of that the ledger knows
+                return; // a socket was closed; the ledger has recorded whatever matters about it
             } catch (Exception e) {
                 throw new IllegalStateException(name, e);
             }
@@ -28,11 +28,11 @@
         thread.start();
     }
 
-    static void close(Closeable socket) {
+    static void closeQuietly(Closeable socket) {
         try {
             socket.close();
         } catch (IOException e) {
-            return; // it is gone either way
+            return; // the socket is unusable either way
         }
     }
 }
--- a/src/test/java/maplerail/soak/DiscoveryAgent.java
+++ b/src/test/java/maplerail/soak/DiscoveryAgent.java
@@ -8,20 +8,20 @@
 import java.util.regex.Pattern;
 import maplerail.support.StandIn;
 
-/** The agent on one gateway's machine: answers at once with what it has, or is silent while discovery is down. */
+/** The local discovery agent of one gateway. It answers long polls, and can fall silent or reply 503. */
 final class DiscoveryAgent implements AutoCloseable {
     private static final Pattern INDEX = Pattern.compile("index=(\\d+)");
     private static final Pattern WAIT = Pattern.compile("wait=(\\d+)");
 
     private final String gateway;
-    private final Directory directory;
+    private final EngineDirectory directory;
     private final Ledger ledger;
     private final StandIn server;
     private volatile boolean silent;
     private volatile boolean busy;
-    private volatile double usableSinceMs = Ledger.nowMs();
+    private volatile double answeringSinceMs = Ledger.nowMs();
 
-    DiscoveryAgent(String gateway, Directory directory, Ledger ledger) throws IOException {
+    DiscoveryAgent(String gateway, EngineDirectory directory, Ledger ledger) throws IOException {
         this.gateway = gateway;
         this.directory = directory;
         this.ledger = ledger;
@@ -32,26 +32,26 @@
         return server.address();
     }
 
-    /** It says nothing to any call, also later to those that came meanwhile. */
-    void silence(boolean on) {
+    /** While set, no call is answered. Calls that arrive meanwhile are not answered later either. */
+    void setSilent(boolean on) {
         silent = on;
-        usableSinceMs = Ledger.nowMs();
+        answeringSinceMs = Ledger.nowMs();
     }
 
-    /** It turns calls away. */
-    void busy(boolean on) {
+    /** While set, calls are answered with 503. */
+    void setBusy(boolean on) {
         busy = on;
-        usableSinceMs = Ledger.nowMs();
+        answeringSinceMs = Ledger.nowMs();
     }
 
-    /** Since when it answers; NaN while it does not. */
-    double usableSinceMs() {
-        return silent || busy ? Double.NaN : usableSinceMs;
+    /** The time since which calls are answered, in milliseconds; NaN while they are not. */
+    double answeringSinceMs() {
+        return silent || busy ? Double.NaN : answeringSinceMs;
     }
 
-    private static long number(Pattern pattern, String target, long other) {
+    private static long parameter(Pattern pattern, String target, long fallback) {
         Matcher found = pattern.matcher(target);
-        return found.find() ? Long.parseLong(found.group(1)) : other;
+        return found.find() ? Long.parseLong(found.group(1)) : fallback;
     }
 
     private void answer(StandIn.Exchange exchange) throws Exception {
@@ -59,9 +59,9 @@
             exchange.reply(503, "busy");
             return;
         }
-        long known = number(INDEX, exchange.target, -1);
-        directory.await(known, number(WAIT, exchange.target, 0));
-        // It may have begun to turn calls away meanwhile, and learns nothing then.
+        long knownVersion = parameter(INDEX, exchange.target, -1);
+        directory.awaitNewerThan(knownVersion, parameter(WAIT, exchange.target, 0));
+        // The agent may have become busy during the wait; the gateway then learns nothing from this call.
         if (busy) {
             exchange.reply(503, "busy");
             return;
@@ -70,10 +70,10 @@
             exchange.awaitEnd();
             return;
         }
-        List<Map.Entry<String, Directory.Entry>> told = new ArrayList<>();
-        exchange.reply(200, directory.since(known, told::add));
-        // Counted from after the write, as the gateway cannot know earlier.
-        told.forEach(entry -> ledger.told(gateway, entry.getKey(), entry.getValue()));
+        List<Map.Entry<String, EngineDirectory.Entry>> sent = new ArrayList<>();
+        exchange.reply(200, directory.changesSince(knownVersion, sent::add));
+        // Recorded after the write, because the gateway cannot know the list earlier.
+        sent.forEach(entry -> ledger.delivered(gateway, entry.getKey(), entry.getValue()));
     }
 
     @Override
--- a/src/test/java/maplerail/soak/FaultProxy.java
+++ b/src/test/java/maplerail/soak/FaultProxy.java
@@ -12,25 +12,27 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The network between gateways and one engine: passes bytes on, and can fall silent, reset, or hold them for a while.
- * A silent connection stays open on both sides and nothing that is written on it arrives.
+ * A TCP proxy that stands for the network between the gateways and one engine. It forwards bytes, and can silence
+ * connections, reset them or delay bytes. A silent connection stays open on both sides, and nothing that is written on
+ * it arrives.
  */
 final class FaultProxy implements AutoCloseable {
-    /** Hears what becomes of connections, named by the port from which they reach the engine. */
+    /** Is notified of events on connections, which are identified by the local port of the proxy towards the engine. */
     interface Listener {
-        /** The gateway has closed it. */
-        void givenUp(int connection);
+        /** The gateway has closed the connection. */
+        void closedByGateway(int connection);
 
-        /** Nothing passes on it any more. */
-        void silenced(int connection);
+        /** The connection was silenced or reset: nothing passes on it any more. */
+        void disturbed(int connection);
     }
 
     private static final int BACKLOG = 16;
-    private static final int FILLERS = 2 * BACKLOG + 4; // enough to fill the backlog, whatever the system rounds it to
-    private static final int BUFFER = 16 * 1024;
-    private static final int HOLD_STEP_MS = 5;
+    private static final int FILLER_COUNT = 2 * BACKLOG + 4; // fills the backlog even if the system rounds it up
+    private static final int BUFFER_BYTES = 16 * 1024;
+    private static final int POLL_MS = 5;
     private static final double RESET_AFTER_CUT_MS = 100;
-    private static final double DELAY_SEEN_MS = 500; // after a hold, for what had waited behind it
+    /** After a delay, bytes that were queued behind it still arrive late for this time. */
+    private static final double DELAY_AFTERMATH_MS = 500;
 
     private final ServerSocket server;
     private final Listener listener;
@@ -39,14 +41,14 @@
     private volatile InetSocketAddress target;
     private volatile boolean silent;
     private volatile boolean refusing;
-    private volatile double backSinceMs = Double.NEGATIVE_INFINITY;
-    private volatile double holdUntilMs;
+    private volatile double reconnectedMs = Double.NEGATIVE_INFINITY;
+    private volatile double delayUntilMs;
 
     FaultProxy(InetSocketAddress target, Listener listener) throws IOException {
         this.target = target;
         this.listener = listener;
         server = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
-        Daemon.start("proxy", this::accept);
+        DaemonThreads.start("proxy", this::accept);
     }
 
     private final class Pipe {
@@ -61,48 +63,48 @@
 
         void silence() {
             silenced = true;
-            listener.silenced(engine.getLocalPort());
+            listener.disturbed(engine.getLocalPort());
         }
 
         void pump(Socket from, Socket to, boolean fromGateway) throws IOException, InterruptedException {
-            byte[] buffer = new byte[BUFFER];
+            byte[] buffer = new byte[BUFFER_BYTES];
             try {
                 for (int count = from.getInputStream().read(buffer); count >= 0;) {
-                    while (Ledger.nowMs() < holdUntilMs) Thread.sleep(HOLD_STEP_MS);
+                    while (Ledger.nowMs() < delayUntilMs) Thread.sleep(POLL_MS);
                     if (!silenced) to.getOutputStream().write(buffer, 0, count);
                     count = from.getInputStream().read(buffer);
                 }
             } finally {
-                // Of a silent connection neither side hears anything, not even its end.
-                if (fromGateway) listener.givenUp(engine.getLocalPort());
-                if (!silenced) end();
+                // On a silent connection neither side is notified of anything, not even of the close.
+                if (fromGateway) listener.closedByGateway(engine.getLocalPort());
+                if (!silenced) close();
             }
         }
 
-        void end() {
+        void close() {
             pipes.remove(this);
-            Daemon.close(gateway);
-            Daemon.close(engine);
+            DaemonThreads.closeQuietly(gateway);
+            DaemonThreads.closeQuietly(engine);
         }
 
         void reset() throws IOException {
             gateway.setSoLinger(true, 0);
             engine.setSoLinger(true, 0);
-            end();
+            close();
         }
     }
 
     private void accept() throws Exception {
         while (true) {
-            while (silent) Thread.sleep(HOLD_STEP_MS);
+            while (silent) Thread.sleep(POLL_MS);
             Socket gateway = server.accept();
-            // What came into the backlog while it filled is reset once the engine is back, as machines do.
-            if (refusing || silent || Ledger.nowMs() < backSinceMs + RESET_AFTER_CUT_MS) {
+            // Connections that entered the backlog while it was filling are reset once the engine is back, as hosts do.
+            if (refusing || silent || Ledger.nowMs() < reconnectedMs + RESET_AFTER_CUT_MS) {
                 gateway.setSoLinger(true, 0);
                 gateway.close();
                 continue;
             }
-            Daemon.start("pipe", () -> connect(gateway));
+            DaemonThreads.start("pipe", () -> connect(gateway));
         }
     }
 
@@ -119,7 +121,7 @@
         }
         Pipe pipe = new Pipe(gateway, engine);
         pipes.add(pipe);
-        Daemon.start("pump", () -> pipe.pump(engine, gateway, false));
+        DaemonThreads.start("pump", () -> pipe.pump(engine, gateway, false));
         pipe.pump(gateway, engine, true);
     }
 
@@ -127,38 +129,38 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    /** Leads new connections elsewhere, as after a restart of the engine. */
-    void target(InetSocketAddress to) {
-        target = to;
+    /** Sets the address to which new connections lead, as after a restart of the engine. */
+    void setTarget(InetSocketAddress newTarget) {
+        target = newTarget;
     }
 
-    /** The connections that are open now fall silent for good; later ones work. */
+    /** Silences the currently open connections for good; later ones work. */
     void silenceOpenConnections() {
         pipes.forEach(Pipe::silence);
     }
 
-    /** One connection, named as to the listener, falls silent for good. */
+    /** Silences one connection for good; the listener identifies it by the same number. */
     void silence(int connection) {
         pipes.stream().filter(pipe -> pipe.engine.getLocalPort() == connection).forEach(Pipe::silence);
     }
 
-    /** Open connections fall silent and new ones do not come up, until told otherwise. */
-    void cut(boolean off) throws IOException {
-        if (!off) backSinceMs = Ledger.nowMs();
-        silent = off;
-        if (off) {
+    /** While set, open connections are silent and new ones are not established. */
+    void setCutOff(boolean on) throws IOException {
+        if (!on) reconnectedMs = Ledger.nowMs();
+        silent = on;
+        if (on) {
             silenceOpenConnections();
             fillBacklog();
             return;
         }
         for (SocketChannel filler : fillers) filler.close();
         fillers.clear();
-        pipes.stream().filter(pipe -> pipe.silenced).forEach(Pipe::end);
+        pipes.stream().filter(pipe -> pipe.silenced).forEach(Pipe::close);
     }
 
-    /** With a full backlog the system drops what would open a connection, as a machine does that is cut off. */
+    /** With a full backlog the system drops connection attempts, as if the host were cut off from the network. */
     private void fillBacklog() throws IOException {
-        for (int i = 0; i < FILLERS; i++) {
+        for (int i = 0; i < FILLER_COUNT; i++) {
             SocketChannel filler = SocketChannel.open();
             filler.configureBlocking(false);
             filler.connect(address());
@@ -166,25 +168,25 @@
         }
     }
 
-    /** New connections are reset at once. */
-    void refuse(boolean on) {
+    /** While set, new connections are reset at once. */
+    void setRefusing(boolean on) {
         refusing = on;
     }
 
-    /** Bytes wait for so long. */
-    void hold(double forMs) {
-        holdUntilMs = Ledger.nowMs() + forMs;
+    /** Delays all bytes from now on for the given time. */
+    void delayBytes(double forMs) {
+        delayUntilMs = Ledger.nowMs() + forMs;
     }
 
-    /** True while, or shortly after, bytes wait here. */
-    boolean delays() {
-        return Ledger.nowMs() < holdUntilMs + DELAY_SEEN_MS;
+    /** True while bytes are delayed, or shortly after. */
+    boolean isDelaying() {
+        return Ledger.nowMs() < delayUntilMs + DELAY_AFTERMATH_MS;
     }
 
     /** Resets all open connections. */
-    void reset() throws IOException {
+    void resetConnections() throws IOException {
         for (Pipe pipe : Set.copyOf(pipes)) {
-            listener.silenced(pipe.engine.getLocalPort());
+            listener.disturbed(pipe.engine.getLocalPort());
             pipe.reset();
         }
     }
@@ -192,6 +194,6 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Pipe pipe : Set.copyOf(pipes)) pipe.end();
+        for (Pipe pipe : Set.copyOf(pipes)) pipe.close();
     }
 }
--- a/src/test/java/maplerail/soak/FaultSoakIT.java
+++ b/src/test/java/maplerail/soak/FaultSoakIT.java
@@ -6,34 +6,34 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A short fault soak with fixed seeds; {@link FaultSoak} plays longer ones by hand. */
+/** A short fault soak with fixed seeds; longer ones are run from the command line of {@link FaultSoak}. */
 class FaultSoakIT {
     private static final int GATEWAYS = 3;
     private static final int SECONDS = 8;
-    private static final List<Trouble> OF_ENGINES = List.of(Trouble.WRITERS_STOP, Trouble.ENGINE_MISBEHAVES,
+    private static final List<Trouble> ENGINE_TROUBLES = List.of(Trouble.WRITERS_STOP, Trouble.ENGINE_MISBEHAVES,
             Trouble.ENGINE_RESTARTS, Trouble.ENGINE_DRAINS, Trouble.ENGINE_CUT_OFF, Trouble.CONNECTIONS_FALL_SILENT,
             Trouble.CONNECTIONS_RESET, Trouble.DISCOVERY_SILENT, Trouble.IDLE_CROWD);
     private static final Path FOLDER = Path.of("target/soak-it").toAbsolutePath();
 
     @Test
     void noRuleIsBrokenUnderTroublesOfAllKinds() throws Exception {
-        assertThat(FaultSoak.play(6001, SECONDS, GATEWAYS, List.of(Trouble.values()), FOLDER)).isZero();
+        assertThat(FaultSoak.runSeed(6001, SECONDS, GATEWAYS, List.of(Trouble.values()), FOLDER)).isZero();
     }
 
-    /** Of the troubles that this seed draws, readers lose reads and others stop right after. */
+    /** Among the troubles of this seed, a reader loses reads and other readers stop right after. */
     @Test
     void noRuleIsBrokenUnderTroublesOfAllKindsWithReadersThatLoseReads() throws Exception {
-        assertThat(FaultSoak.play(6003, SECONDS, GATEWAYS, List.of(Trouble.values()), FOLDER)).isZero();
+        assertThat(FaultSoak.runSeed(6003, SECONDS, GATEWAYS, List.of(Trouble.values()), FOLDER)).isZero();
     }
 
     @Test
     void noRuleIsBrokenUnderTroublesOfEngines() throws Exception {
-        assertThat(FaultSoak.play(7005, SECONDS, GATEWAYS, OF_ENGINES, FOLDER)).isZero();
+        assertThat(FaultSoak.runSeed(7005, SECONDS, GATEWAYS, ENGINE_TROUBLES, FOLDER)).isZero();
     }
 
     @Test
     void noRuleIsBrokenWhileWritersStopAndGatewaysEnd() throws Exception {
         List<Trouble> troubles = List.of(Trouble.WRITERS_STOP, Trouble.ROLLING_RESTART);
-        assertThat(FaultSoak.play(6002, SECONDS, GATEWAYS, troubles, FOLDER)).isZero();
+        assertThat(FaultSoak.runSeed(6002, SECONDS, GATEWAYS, troubles, FOLDER)).isZero();
     }
 }
--- a/src/test/java/maplerail/soak/GatewayProcess.java
+++ b/src/test/java/maplerail/soak/GatewayProcess.java
@@ -10,16 +10,16 @@
 import java.nio.file.StandardCopyOption;
 import java.util.concurrent.TimeUnit;
 
-/** One gateway: a real process, started by the deploy file's line, with its own agent, configuration and shim. */
+/** A gateway process, started by the command in the deploy file, with its own agent, configuration and fault shim. */
 final class GatewayProcess implements AutoCloseable {
-    private static final double READY_LIMIT_MS = 10_000;
-    private static final double COUNTS_AS_TOLD_MS = 6_500;
-    private static final double READ_FAULTS_LAST_MS = 5_000;
-    private static final double MOST_DEADLINE_MS = 3_000; // that counts for the time between the two signals
+    private static final double READY_TIMEOUT_MS = 10_000;
+    private static final double ASSUMED_DELIVERED_AFTER_MS = 6_500;
+    private static final double READ_FAULT_AFTERMATH_MS = 5_000;
+    private static final double MAX_DRAIN_DEADLINE_MS = 3_000; // counted between SIGTERM and SIGKILL
     private static final double KILL_GRACE_MS = 700;
     private static final int RELOAD_BEFORE_END_MS = 800;
-    private static final int LOOK_MS = 20;
-    private static final int ASK_TIMEOUT_MS = 500;
+    private static final int READY_POLL_MS = 20;
+    private static final int READY_CHECK_TIMEOUT_MS = 500;
 
     final String name;
     final int port;
@@ -27,21 +27,21 @@
     private final Path folder;
     private final Path shimLibrary;
     private final String command;
-    private final Directory directory;
+    private final EngineDirectory directory;
     private final Ledger ledger;
     private final SoakSettings settings;
     private DiscoveryAgent agent;
-    private String known = "";
-    private long starts;
+    private String knownList = "";
+    private long startCount;
     private volatile Process process;
     private volatile boolean up;
     private volatile boolean ending;
     private volatile boolean killed;
-    private volatile Process toldToEnd;
+    private volatile Process endingProcess;
     private volatile double readyMs = Double.NaN;
-    private volatile double readFaultsMs = Double.NEGATIVE_INFINITY;
+    private volatile double lastReadFaultMs = Double.NEGATIVE_INFINITY;
 
-    GatewayProcess(String name, Path folder, Path shimLibrary, String command, Directory directory, Ledger ledger,
+    GatewayProcess(String name, Path folder, Path shimLibrary, String command, EngineDirectory directory, Ledger ledger,
             SoakSettings settings) throws IOException {
         this.name = name;
         this.folder = Files.createDirectories(folder.resolve(name));
@@ -55,7 +55,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = free.getLocalPort();
         }
-        known = directory.since(-1, entry -> {});
+        knownList = directory.changesSince(-1, entry -> {});
     }
 
     private Path config() {
@@ -65,42 +65,45 @@
     private void writeConfig() throws IOException {
         Path next = folder.resolve("next");
         Files.writeString(next, "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\""
-                + agent.address() + "\",\"seed\":\"" + Long.toHexString(name.hashCode() * 31L + ++starts)
-                + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":512},\"known\":" + known
+                + agent.address() + "\",\"seed\":\"" + Long.toHexString(name.hashCode() * 31L + ++startCount)
+                + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":512},\"known\":" + knownList
                 + ",\"settings\":"
                 + settings.json() + "}");
         Files.move(next, config(), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** True while it is in the front's list: ready, and not told to end. */
-    boolean takesClients() {
+    /** True while clients may use the gateway: it is ready and has not been told to end. */
+    boolean acceptsClients() {
         return up && !ending;
     }
 
-    /** What discovery has counts as told some time after it had it, if it could be asked all the while. */
-    void countAsTold() {
-        double sinceMs = Math.max(agent.usableSinceMs(), readyMs);
-        if (!takesClients() || Double.isNaN(sinceMs)) return;
-        double beforeMs = Ledger.nowMs() - COUNTS_AS_TOLD_MS;
+    /**
+     * Records entries as delivered to this gateway once they have been published for some time, if the agent has
+     * answered all the while.
+     */
+    void recordAssumedDeliveries() {
+        double sinceMs = Math.max(agent.answeringSinceMs(), readyMs);
+        if (!acceptsClients() || Double.isNaN(sinceMs)) return;
+        double beforeMs = Ledger.nowMs() - ASSUMED_DELIVERED_AFTER_MS;
         if (sinceMs > beforeMs) return;
         directory.entries().forEach((engine, entry) -> {
-            if (entry.changedMs() < beforeMs) ledger.told(name, engine, entry);
+            if (entry.changedMs() < beforeMs) ledger.delivered(name, engine, entry);
         });
     }
 
-    /** True while, or shortly after, reads of its sockets fail: a connection may then end for no other reason. */
+    /** True while reads of its sockets fail, or shortly after: a connection may then end for that reason alone. */
     boolean hasReadFaults() {
-        return Ledger.nowMs() - readFaultsMs < READ_FAULTS_LAST_MS;
+        return Ledger.nowMs() - lastReadFaultMs < READ_FAULT_AFTERMATH_MS;
     }
 
-    void readFaults(int error, int permille, int shortest) {
-        readFaultsMs = Ledger.nowMs() + (error == 0 ? 0 : READ_FAULTS_LAST_MS);
+    void setReadFaults(int error, int permille, int maxIoBytes) {
+        lastReadFaultMs = Ledger.nowMs() + (error == 0 ? 0 : READ_FAULT_AFTERMATH_MS);
         shim.set(ShimControl.Field.READ_ERRNO, error);
         shim.set(ShimControl.Field.READ_PERMILLE, permille);
-        shim.set(ShimControl.Field.SHORT_IO, shortest);
+        shim.set(ShimControl.Field.SHORT_IO, maxIoBytes);
     }
 
-    /** Starts it and waits until it is ready. */
+    /** Starts the process and waits until it is ready. */
     void start() throws Exception {
         readyMs = Double.NaN;
         writeConfig();
@@ -112,32 +115,35 @@
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
         double startMs = Ledger.nowMs();
         process = builder.start();
-        // In this order: news of the last one's end may still be on its way.
+        // The new process is set before the flags are cleared: the exit of the last one may not have been reported yet.
         ending = false;
         killed = false;
-        Process mine = process;
-        mine.onExit().thenAccept(this::exited);
-        while (mine.isAlive() && !ready()) {
-            if (Ledger.nowMs() - startMs > READY_LIMIT_MS) {
-                ledger.breach(Ledger.Rule.READY_IN_TIME, null, name + " is not ready after " + READY_LIMIT_MS + " ms");
+        Process started = process;
+        started.onExit().thenAccept(this::exited);
+        while (started.isAlive() && !isReady()) {
+            if (Ledger.nowMs() - startMs > READY_TIMEOUT_MS) {
+                ledger.recordBreach(Ledger.Rule.READY_IN_TIME, null,
+                        name + " is not ready after " + READY_TIMEOUT_MS + " ms");
                 return;
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(READY_POLL_MS);
         }
         readyMs = Ledger.nowMs();
-        up = mine.isAlive();
+        up = started.isAlive();
     }
 
     private void exited(Process ended) {
-        // An end that was asked for may be told of only after the next start.
-        if (ended != process || ended.equals(toldToEnd)) return;
+        // An intended exit may be reported only after the next start.
+        if (ended != process || ended.equals(endingProcess)) return;
         up = false;
-        if (!ending) ledger.breach(Ledger.Rule.CRASH, null, name + " ended by itself with " + ended.exitValue());
+        if (!ending)
+            ledger.recordBreach(Ledger.Rule.CRASH, null,
+                    name + " exited unexpectedly with status " + ended.exitValue());
     }
 
-    private boolean ready() {
+    private boolean isReady() {
         try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
-            socket.setSoTimeout(ASK_TIMEOUT_MS);
+            socket.setSoTimeout(READY_CHECK_TIMEOUT_MS);
             socket.getOutputStream().write("GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
                     .getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readNBytes(12), StandardCharsets.US_ASCII).endsWith("200");
@@ -150,64 +156,72 @@
         if (process.isAlive()) new ProcessBuilder("kill", "-" + which, "" + process.pid()).start().waitFor();
     }
 
-    /** What a new process is started with, which counts as told to it; the one before may not have heard all of it. */
-    private void learnList() {
-        known = directory.since(-1,
-                entry -> ledger.told(name, entry.getKey(), entry.getValue()));
+    /**
+     * Refreshes the list that a new process is started with, and records it as delivered; the last process may not
+     * have received all of it.
+     */
+    private void refreshKnownList() {
+        knownList = directory.changesSince(-1, entry -> ledger.delivered(name, entry.getKey(), entry.getValue()));
     }
 
-    /** SIGTERM, then SIGKILL as soon as the page allows, then a new start on the list as it was at the end. */
+    /** Sends SIGTERM, SIGKILL as soon as the protocol page allows, and starts again with the list as of the end. */
     void restart() throws Exception {
         ending = true;
-        toldToEnd = process;
-        double toldMs = Ledger.nowMs();
+        endingProcess = process;
+        double signalledMs = Ledger.nowMs();
         process.destroy();
-        double killAfterMs = Math.min(settings.deadlineMs, MOST_DEADLINE_MS) + KILL_GRACE_MS;
-        if (!process.waitFor((long) killAfterMs, TimeUnit.MILLISECONDS)) kill(toldMs + KILL_GRACE_MS);
+        double killAfterMs = Math.min(settings.deadlineMs, MAX_DRAIN_DEADLINE_MS) + KILL_GRACE_MS;
+        if (!process.waitFor((long) killAfterMs, TimeUnit.MILLISECONDS)) kill(signalledMs + KILL_GRACE_MS);
         up = false;
-        learnList();
+        refreshKnownList();
         start();
     }
 
-    /** A new configuration, and shortly after the signal to end. */
+    /** Loads a new configuration and shortly after restarts the process. */
     void reloadAndRestart() throws Exception {
-        Thread moving = new Thread(() -> {
+        Thread reload = new Thread(() -> {
             try {
                 moveDiscovery(0, 0);
             } catch (Exception e) {
-                ledger.breach(Ledger.Rule.CRASH, null, name + " could not be told of a new configuration: " + e);
+                ledger.recordBreach(Ledger.Rule.CRASH, null, name + " could not be given a new configuration: " + e);
             }
         });
-        moving.start();
+        reload.start();
         TimeUnit.MILLISECONDS.sleep(RELOAD_BEFORE_END_MS);
         restart();
-        moving.join();
+        reload.join();
     }
 
-    /** True from the signal to end until it is gone: clients send on connections that are still open. */
-    boolean drains() {
+    /** True from SIGTERM until the process is gone: clients still send on connections that are open. */
+    boolean isDraining() {
         return ending && !killed && process.isAlive();
     }
 
-    /** SIGKILL and a new start. */
+    /** Sends SIGKILL and starts again. */
     void crashAndStart() throws Exception {
         ending = true;
         up = false;
-        toldToEnd = process;
+        endingProcess = process;
         kill(Double.POSITIVE_INFINITY);
-        learnList();
+        refreshKnownList();
         start();
     }
 
-    private void kill(double oweFromMs) throws InterruptedException {
+    private void kill(double mustAnswerFromMs) throws InterruptedException {
         killed = true;
-        ledger.killed(name, oweFromMs);
+        ledger.gatewayKilled(name, mustAnswerFromMs);
         process.destroyForcibly();
         process.waitFor();
-        ledger.killed(name, Double.POSITIVE_INFINITY);
+        ledger.gatewayKilled(name, Double.POSITIVE_INFINITY);
     }
 
-    /** A new configuration moves discovery; the old agent closes what is open after 1.5 s. */
+    /**
+     * Loads a new configuration with another discovery address. The old agent stops listening once the configuration
+     * is readable, and falls silent 1.5 s later.
+     *
+     * @param configErrno the error of opening the configuration file at first; 0 for none
+     * @param failForMs for how long opening it fails
+     */
     void moveDiscovery(int configErrno, int failForMs) throws Exception {
         DiscoveryAgent old = agent;
         agent = new DiscoveryAgent(name, directory, ledger);
@@ -218,16 +232,16 @@
         shim.set(ShimControl.Field.OPEN_ERRNO, 0);
         old.close();
         TimeUnit.MILLISECONDS.sleep(1_500);
-        old.silence(true);
+        old.setSilent(true);
     }
 
-    /** Holds the whole process up; one shell sends both signals, as two would take longer than the pause itself. */
+    /** Pauses the whole process; one shell sends both signals, as two would take longer than the pause itself. */
     void stall(int forMs) throws Exception {
         if (!process.isAlive()) return;
         String script = "kill -STOP " + process.pid() + "; sleep " + forMs / 1_000.0 + "; kill -CONT " + process.pid();
         double startMs = Ledger.nowMs();
         new ProcessBuilder("/bin/sh", "-c", script).start().waitFor();
-        ledger.heldUp(name, Ledger.nowMs() - startMs);
+        ledger.gatewayPaused(name, Ledger.nowMs() - startMs);
     }
 
     DiscoveryAgent agent() {
--- a/src/test/java/maplerail/soak/LagMeter.java
+++ b/src/test/java/maplerail/soak/LagMeter.java
@@ -4,13 +4,13 @@
 import java.util.Locale;
 
 /**
- * How late this process's own threads ran of late. Engines, network and ledger are threads of one process: when the
- * machine holds them up, a breach may be theirs, and whoever reads a report must be able to tell.
+ * Measures how late this process's own threads have been scheduled recently. Engines, network and ledger are threads of
+ * one process: when the machine delays them, they may cause a breach, and the reader of a report must be able to tell.
  */
 final class LagMeter {
-    private static final int STEP_MS = 5;
-    private static final double REMEMBERED_MS = 3_000;
-    private static final double WORTH_NOTING_MS = 10;
+    private static final int SLEEP_MS = 5;
+    private static final double WINDOW_MS = 3_000;
+    private static final double MIN_RECORDED_LAG_MS = 10;
 
     private record Lag(double atMs, double lagMs) {}
 
@@ -18,33 +18,33 @@
     private double worstMs;
     private volatile boolean closed;
 
-    /** Begins to measure. */
+    /** Starts the measuring thread. */
     LagMeter() {
-        Daemon.start("lag meter", () -> {
+        DaemonThreads.start("lag meter", () -> {
             while (!closed) {
                 double beforeMs = Ledger.nowMs();
-                Thread.sleep(STEP_MS);
-                note(Ledger.nowMs() - beforeMs - STEP_MS);
+                Thread.sleep(SLEEP_MS);
+                record(Ledger.nowMs() - beforeMs - SLEEP_MS);
             }
         });
     }
 
-    private synchronized void note(double lagMs) {
+    private synchronized void record(double lagMs) {
         double now = Ledger.nowMs();
         worstMs = Math.max(worstMs, lagMs);
-        if (lagMs >= WORTH_NOTING_MS) lags.addLast(new Lag(now, lagMs));
-        while (!lags.isEmpty() && lags.peekFirst().atMs() < now - REMEMBERED_MS) lags.removeFirst();
+        if (lagMs >= MIN_RECORDED_LAG_MS) lags.addLast(new Lag(now, lagMs));
+        while (!lags.isEmpty() && lags.peekFirst().atMs() < now - WINDOW_MS) lags.removeFirst();
     }
 
-    /** The worst of the whole run. */
+    /** The largest lag of the whole run, in milliseconds. */
     synchronized double worstMs() {
         return worstMs;
     }
 
-    /** The worst of the last seconds, for a report. */
-    synchronized String recent() {
+    /** Describes the largest lag of the last seconds, for a report. */
+    synchronized String describeRecent() {
         double recentMs = lags.stream().mapToDouble(Lag::lagMs).max().orElse(0);
-        return String.format(Locale.ROOT, "own lag %.0f ms", recentMs);
+        return String.format(Locale.ROOT, "own thread lag %.0f ms", recentMs);
     }
 
     void close() {
--- a/src/test/java/maplerail/soak/Ledger.java
+++ b/src/test/java/maplerail/soak/Ledger.java
@@ -10,49 +10,49 @@
 import java.util.Set;
 
 /**
- * What really happened, as clients and engines saw it, and the oracle of the soak: it knows the rules and nothing of the
- * gateway's code. All times are milliseconds of this process's monotonic clock. Safe for use by many threads.
+ * Records what clients and engines observe, and checks it against the protocol's rules: the test oracle of the soak. It
+ * knows nothing of the gateway's code. All times are milliseconds of this process's monotonic clock. Thread-safe.
  */
 final class Ledger {
-    /** What a gateway has to keep. */
+    /** The rules that a gateway must obey. */
     enum Rule {
         FINAL_ANSWER, CONNECTION_CLOSED_OVER_A_REQUEST, WHOLE_STREAM, ONE_EFFECT, REPEAT_GROUP, REFUSAL, ONE_ATTEMPT_OUT, ATTEMPT_LIMIT, DRAIN, HELD_STATE, CLIENT_GONE, TOLD_DEADLINE, UNKNOWN_REQUEST, COLD_OVERLOAD, BAD_CLIENT, READY_IN_TIME, CRASH, SERVICE_AFTER_TROUBLE
     }
 
-    /** How often a class may take effect. */
+    /** How often a request of a class may take effect. */
     enum Repeat {
         PURE, KEYED, UNSAFE
     }
 
-    /** Which engines drop the repeats of keyed work. */
+    /** The engines among which repeats of keyed requests are deduplicated. */
     enum Scope {
         ALL, ZONE, CELL
     }
 
-    /** Where an engine stands. */
-    record Place(String zone, int cell) {}
+    /** The zone and cell of an engine. */
+    record Location(String zone, int cell) {}
 
-    /** What the soak allows beside the rules, as its own threads run late on a busy machine. */
-    private static final double OWN_SLACK_MS = 60;
+    /** The allowance on top of the rules, because the soak's own threads run late on a busy machine. */
+    private static final double SCHEDULING_SLACK_MS = 60;
     private static final double DRAIN_GRACE_MS = 300;
-    private static final double CLIENT_GONE_MS = 100;
-    private static final double OVERLAP_MS = 250; // the proxy may hold bytes, and so a close, for 200 ms
-    private static final double TOLD_SLACK_MS = 150;
+    private static final double CLIENT_GONE_GRACE_MS = 100;
+    private static final double MAX_OVERLAP_MS = 250; // the proxy may delay bytes, and so a close, for 200 ms
+    private static final double FORWARDED_DEADLINE_SLACK_MS = 150;
     private static final double HELD_SLACK_MS = 300;
-    private static final int MOST_TOLD_OF_A_RULE = 3;
-    private static final double ANSWER_AT_ONCE_MS = 200; // in which a gateway that ends turns a request away
-    private static final double TOLD_STALL_MS = 1_000;
+    private static final int MAX_REPORTS_PER_RULE = 3;
+    private static final double REFUSAL_TIME_MS = 200; // within which a gateway that is shutting down refuses a request
+    private static final double PAUSE_NOTE_WINDOW_MS = 1_000;
 
     private final double pinLimitMs;
     private final double keyWindowMs;
     private final Scope keyScope;
-    private final Map<String, Place> places = new HashMap<>();
-    private final int mostAttempts;
+    private final Map<String, Location> locations = new HashMap<>();
+    private final int maxAttempts;
     private final Map<String, Request> requests = new HashMap<>();
-    private final Map<String, Double> drainToldMs = new HashMap<>();
-    private final Map<String, Long> toldVersions = new HashMap<>();
-    private final Map<Integer, Attempt> byConnection = new HashMap<>();
-    private final Map<Rule, Integer> broken = new EnumMap<>(Rule.class);
+    private final Map<String, Double> drainDeliveredMs = new HashMap<>();
+    private final Map<String, Long> deliveredVersions = new HashMap<>();
+    private final Map<Integer, Attempt> attemptsByConnection = new HashMap<>();
+    private final Map<Rule, Integer> breachCounts = new EnumMap<>(Rule.class);
     private final List<String> reports = new ArrayList<>();
     private final List<Overlap> overlaps = new ArrayList<>();
     private final Set<String> unreachable = new HashSet<>();
@@ -65,19 +65,19 @@
         pinLimitMs = settings.pinLimitMs;
         keyWindowMs = settings.keyWindowMs;
         keyScope = settings.keyScope;
-        mostAttempts = settings.mostAttempts;
+        maxAttempts = settings.maxAttempts;
     }
 
-    /** An engine stands there for good. */
-    synchronized void stands(String engine, Place at) {
-        places.put(engine, at);
+    /** Registers the fixed location of an engine. */
+    synchronized void addEngine(String engine, Location location) {
+        locations.put(engine, location);
     }
 
     static double nowMs() {
         return System.nanoTime() / 1e6;
     }
 
-    /** A client's request and all that became of it. */
+    /** A client's request and everything observed about it. */
     static final class Request {
         final String id;
         final Repeat repeat;
@@ -86,14 +86,14 @@
         final double deadlineMs;
         final List<Attempt> attempts = new ArrayList<>();
         final List<String> timeline = new ArrayList<>();
-        /** Engines that hold a state for it, and since when. */
+        /** The engines that hold a state for the request, and since when. */
         final Map<String, Double> held = new HashMap<>();
-        /** When its last byte was written, on the connection that it is sent on now. */
-        double wholeMs = Double.NaN;
-        double leftMs = Double.NaN;
-        boolean ownerKilled;
-        /** It came when its gateway had long been told to end, was not answered, and the gateway was killed. */
-        boolean answerOwed;
+        /** When the last byte was written on the current connection; NaN before that. */
+        double fullySentMs = Double.NaN;
+        double clientLeftMs = Double.NaN;
+        boolean gatewayKilled;
+        /** True if the request came long after SIGTERM and the gateway was killed before it sent the due answer. */
+        boolean answerWasDue;
         boolean heldReported;
 
         Request(String id, Repeat repeat, String gateway, double sentMs, double deadlineMs) {
@@ -109,17 +109,17 @@
         }
     }
 
-    /** Two attempts of a request that may have been out together. */
+    /** Two attempts of a request that may have been in flight at the same time. */
     private record Overlap(Attempt earlier, Attempt later) {}
 
-    /** An attempt as its engine saw it. */
+    /** An attempt as observed by its engine. */
     static final class Attempt {
         final Request request;
         final String engine;
         final boolean reader;
         final double beganMs;
         double endedMs = Double.NaN;
-        boolean neverRan;
+        boolean provenNotRun;
         boolean finished;
         boolean disturbed;
         String streamed = "";
@@ -131,15 +131,15 @@
             this.beganMs = beganMs;
         }
 
-        boolean out() {
+        boolean inFlight() {
             return Double.isNaN(endedMs);
         }
     }
 
-    synchronized void breach(Rule rule, Request request, String detail) {
-        int before = broken.merge(rule, 1, Integer::sum);
-        if (before > MOST_TOLD_OF_A_RULE) return;
-        StringBuilder report = new StringBuilder(rule + ": " + detail + "; " + lag.recent());
+    synchronized void recordBreach(Rule rule, Request request, String detail) {
+        int before = breachCounts.merge(rule, 1, Integer::sum);
+        if (before > MAX_REPORTS_PER_RULE) return;
+        StringBuilder report = new StringBuilder(rule + ": " + detail + "; " + lag.describeRecent());
         if (request != null) {
             report.append("\n    request ").append(request.id).append(" ").append(request.repeat).append(" at ")
                     .append(request.gateway);
@@ -148,7 +148,7 @@
         reports.add(report.toString());
     }
 
-    synchronized Request sent(String id, Repeat repeat, String gateway, double budgetMs) {
+    synchronized Request requestSent(String id, Repeat repeat, String gateway, double budgetMs) {
         double now = nowMs();
         Request request = new Request(id, repeat, gateway, now, now + budgetMs);
         request.note("sent, deadline " + Math.round(budgetMs));
@@ -156,17 +156,17 @@
         return request;
     }
 
-    /** A request is being sent on a connection, or has been to its last byte. */
-    synchronized void sending(Request request, boolean whole) {
-        request.wholeMs = whole ? nowMs() : Double.NaN;
+    /** Records that a request is being sent on a connection, or that its last byte was written. */
+    synchronized void sending(Request request, boolean fullySent) {
+        request.fullySentMs = fullySent ? nowMs() : Double.NaN;
     }
 
     synchronized void note(Request request, String what) {
         request.note(what);
     }
 
-    synchronized void left(Request request) {
-        request.leftMs = nowMs();
+    synchronized void clientLeft(Request request) {
+        request.clientLeftMs = nowMs();
         request.note("client closed");
     }
 
@@ -183,137 +183,144 @@
     }
 
     /**
-     * A gateway was killed outright: what it held and owed is nobody's any more, but for the answers to what came late
-     * enough after the signal to end.
+     * Records that a gateway was killed. Nobody has to release its states or answer its requests any more, except for
+     * requests that came late enough after SIGTERM: those should have been answered before.
+     *
+     * @param mustAnswerFromMs requests that were fully sent after this time had to be answered
      */
-    synchronized void killed(String gateway, double oweFromMs) {
+    synchronized void gatewayKilled(String gateway, double mustAnswerFromMs) {
         double now = nowMs();
         for (Request request : requests.values()) {
             if (!request.gateway.equals(gateway)) continue;
-            boolean owed = request.wholeMs > oweFromMs && request.wholeMs < now - ANSWER_AT_ONCE_MS;
-            request.answerOwed |= owed && !request.ownerKilled;
-            request.ownerKilled = true;
+            boolean due = request.fullySentMs > mustAnswerFromMs && request.fullySentMs < now - REFUSAL_TIME_MS;
+            request.answerWasDue |= due && !request.gatewayKilled;
+            request.gatewayKilled = true;
             request.note("gateway killed");
         }
     }
 
-    /** The gateway was held up by the soak: beside a breach, this tells whose delay it was. */
-    synchronized void heldUp(String gateway, double forMs) {
+    /** Notes that the soak paused a gateway, so that a report of a breach shows the cause of a delay. */
+    synchronized void gatewayPaused(String gateway, double forMs) {
         double now = nowMs();
         for (Request request : requests.values()) {
-            boolean open = request.gateway.equals(gateway) && now < request.deadlineMs + TOLD_STALL_MS;
-            if (open) request.note("gateway was stopped for " + Math.round(forMs) + " ms");
+            boolean open = request.gateway.equals(gateway) && now < request.deadlineMs + PAUSE_NOTE_WINDOW_MS;
+            if (open) request.note("gateway was paused for " + Math.round(forMs) + " ms");
         }
     }
 
-    /** The worst that this process's own threads were late in the run. */
+    /** The largest scheduling lag of this process's own threads in the run, in milliseconds. */
     double worstLagMs() {
         return lag.worstMs();
     }
 
-    /** Ends what it runs itself. */
+    /** Stops the lag meter. */
     void close() {
         lag.close();
     }
 
-    /** Discovery has told a gateway that an engine drains or is gone; or that it is in service again. */
-    synchronized void told(String gateway, String engine, Directory.Entry entry) {
+    /** Records that discovery has reported to a gateway that an engine drains, is gone or is in service again. */
+    synchronized void delivered(String gateway, String engine, EngineDirectory.Entry entry) {
         String key = gateway + " " + engine;
-        // Several threads tell: what is older than the newest news is none.
-        if (toldVersions.merge(key, entry.version(), Math::max) > entry.version()) return;
-        if (entry.inService()) drainToldMs.remove(key);
-        else drainToldMs.putIfAbsent(key, nowMs());
+        // Several threads deliver entries; one that is older than the newest is ignored.
+        if (deliveredVersions.merge(key, entry.version(), Math::max) > entry.version()) return;
+        if (entry.inService()) drainDeliveredMs.remove(key);
+        else drainDeliveredMs.putIfAbsent(key, nowMs());
     }
 
-    synchronized void reach(String engine, boolean reachable) {
+    synchronized void setReachable(String engine, boolean reachable) {
         if (reachable) unreachable.remove(engine);
         else unreachable.add(engine);
-        // What is held there can be let go only from now on.
+        // States held there can be released only from now on.
         if (!reachable) return;
         for (Request request : requests.values()) {
             if (request.held.containsKey(engine)) request.held.put(engine, nowMs());
         }
     }
 
-    /** The last byte of an attempt has come to its engine; null if no client sent its request. */
-    synchronized Attempt began(String id, String engine, boolean reader, double firstByteMs, double toldMs,
-            int connection, boolean networkDelays) {
+    /** Records that an attempt has fully arrived at its engine; returns null if no client sent the request. */
+    synchronized Attempt attemptBegan(String id, String engine, boolean reader, double firstByteMs,
+            double forwardedDeadlineMs, int connection, boolean networkDelays) {
         Request request = requests.get(id);
         if (request == null) {
-            breach(Rule.UNKNOWN_REQUEST, null, id + " at " + engine);
+            recordBreach(Rule.UNKNOWN_REQUEST, null, id + " at " + engine);
             return null;
         }
         double now = nowMs();
         Attempt attempt = new Attempt(request, engine, reader, now);
-        request.note((reader ? "read" : "write") + " begins at " + engine + ", told " + Math.round(toldMs));
-        check(request, attempt);
-        if (!networkDelays) checkTimes(request, attempt, firstByteMs, toldMs);
+        request.note((reader ? "read" : "write") + " begins at " + engine + ", forwarded deadline "
+                + Math.round(forwardedDeadlineMs));
+        checkAttempt(request, attempt);
+        if (!networkDelays) checkTimes(request, attempt, firstByteMs, forwardedDeadlineMs);
         request.attempts.add(attempt);
-        byConnection.put(connection, attempt);
+        attemptsByConnection.put(connection, attempt);
         return attempt;
     }
 
-    private void check(Request request, Attempt attempt) {
-        if (request.attempts.size() >= mostAttempts)
-            breach(Rule.ATTEMPT_LIMIT, request, "one more at " + attempt.engine);
+    private void checkAttempt(Request request, Attempt attempt) {
+        if (request.attempts.size() >= maxAttempts)
+            recordBreach(Rule.ATTEMPT_LIMIT, request, "one attempt too many at " + attempt.engine);
         for (Attempt other : request.attempts) {
-            if (other.out() && !request.ownerKilled) overlaps.add(new Overlap(other, attempt));
+            if (other.inFlight() && !request.gatewayKilled) overlaps.add(new Overlap(other, attempt));
         }
         checkEffect(request, attempt);
     }
 
-    private void checkTimes(Request request, Attempt attempt, double firstByteMs, double toldMs) {
-        if (firstByteMs > request.leftMs + CLIENT_GONE_MS + OWN_SLACK_MS) {
-            breach(Rule.CLIENT_GONE, request,
-                    "begun " + Math.round(firstByteMs - request.leftMs) + " ms after its client left");
+    private void checkTimes(Request request, Attempt attempt, double firstByteMs, double forwardedDeadlineMs) {
+        if (firstByteMs > request.clientLeftMs + CLIENT_GONE_GRACE_MS + SCHEDULING_SLACK_MS) {
+            recordBreach(Rule.CLIENT_GONE, request,
+                    "attempt begun " + Math.round(firstByteMs - request.clientLeftMs) + " ms after the client left");
         }
-        if (toldMs > request.deadlineMs - firstByteMs + TOLD_SLACK_MS + OWN_SLACK_MS) {
-            breach(Rule.TOLD_DEADLINE, request, "told " + Math.round(toldMs) + " of "
-                    + Math.round(request.deadlineMs - firstByteMs));
+        if (forwardedDeadlineMs > request.deadlineMs - firstByteMs + FORWARDED_DEADLINE_SLACK_MS
+                + SCHEDULING_SLACK_MS) {
+            recordBreach(Rule.TOLD_DEADLINE, request,
+                    "forwarded deadline " + Math.round(forwardedDeadlineMs) + " ms, time left "
+                            + Math.round(request.deadlineMs - firstByteMs) + " ms");
         }
-        Double told = drainToldMs.get(request.gateway + " " + attempt.engine);
-        if (told != null && firstByteMs > told + DRAIN_GRACE_MS + OWN_SLACK_MS) {
-            breach(Rule.DRAIN, request, attempt.engine + " " + Math.round(firstByteMs - told) + " ms after the news");
+        Double drainMs = drainDeliveredMs.get(request.gateway + " " + attempt.engine);
+        if (drainMs != null && firstByteMs > drainMs + DRAIN_GRACE_MS + SCHEDULING_SLACK_MS) {
+            recordBreach(Rule.DRAIN, request,
+                    attempt.engine + " " + Math.round(firstByteMs - drainMs)
+                            + " ms after discovery reported it out of service");
         }
     }
 
-    /** Nothing follows what may have run, or only inside the group and the window of its class. */
+    /** After an attempt that may have run, others are allowed only in the repeat scope and window of the class. */
     private void checkEffect(Request request, Attempt attempt) {
         if (request.repeat == Repeat.PURE) return;
         Attempt first = firstThatMayHaveRun(request);
         if (first == null) return;
         boolean inWindow = request.repeat == Repeat.KEYED && attempt.beganMs <= first.beganMs + keyWindowMs
-                + OWN_SLACK_MS;
-        if (!inWindow) breach(Rule.ONE_EFFECT, request, "again at " + attempt.engine);
-        else if (!sameGroup(first, attempt)) breach(Rule.REPEAT_GROUP, request, "again at " + attempt.engine);
+                + SCHEDULING_SLACK_MS;
+        if (!inWindow) recordBreach(Rule.ONE_EFFECT, request, "again at " + attempt.engine);
+        else if (!inSameScope(first, attempt)) recordBreach(Rule.REPEAT_GROUP, request, "again at " + attempt.engine);
     }
 
     private static Attempt firstThatMayHaveRun(Request request) {
-        return request.attempts.stream().filter(a -> !a.reader && !a.neverRan).findFirst().orElse(null);
+        return request.attempts.stream().filter(a -> !a.reader && !a.provenNotRun).findFirst().orElse(null);
     }
 
-    private boolean sameGroup(Attempt first, Attempt later) {
-        Place at = places.get(first.engine);
-        Place then = places.get(later.engine);
+    private boolean inSameScope(Attempt first, Attempt later) {
+        Location firstLocation = locations.get(first.engine);
+        Location laterLocation = locations.get(later.engine);
         return switch (keyScope) {
             case ALL -> true;
-            case ZONE -> at.zone().equals(then.zone());
-            case CELL -> at.cell() == then.cell();
+            case ZONE -> firstLocation.zone().equals(laterLocation.zone());
+            case CELL -> firstLocation.cell() == laterLocation.cell();
         };
     }
 
-    /** A refusal promises that trying again is harmless. */
+    /** A refusal promises that a retry is harmless, so that nothing may have run. */
     private void checkRefusal(Request request) {
-        boolean dropped = request.repeat == Repeat.KEYED && keyScope == Scope.ALL;
-        if (request.repeat == Repeat.PURE || dropped) return;
+        boolean deduplicated = request.repeat == Repeat.KEYED && keyScope == Scope.ALL;
+        if (request.repeat == Repeat.PURE || deduplicated) return;
         Attempt first = firstThatMayHaveRun(request);
-        if (first != null) breach(Rule.REFUSAL, request, "though it may have run at " + first.engine);
+        if (first != null) recordBreach(Rule.REFUSAL, request, "refused although it may have run at " + first.engine);
     }
 
-    synchronized void ended(Attempt attempt, String how, boolean neverRan) {
-        if (!attempt.out()) return;
+    synchronized void attemptEnded(Attempt attempt, String how, boolean provenNotRun) {
+        if (!attempt.inFlight()) return;
         attempt.endedMs = nowMs();
-        attempt.neverRan = neverRan;
+        attempt.provenNotRun = provenNotRun;
         attempt.request.note((attempt.reader ? "read" : "write") + " at " + attempt.engine + " ends: " + how);
     }
 
@@ -322,104 +329,106 @@
         attempt.finished |= last;
     }
 
-    /** The gateway has closed a connection, whether or not its engine can know. */
-    synchronized void connectionGivenUp(int connection) {
-        Attempt attempt = byConnection.remove(connection);
-        if (attempt != null && attempt.out()) ended(attempt, "given up", false);
+    /** Records that the gateway has closed a connection, whether or not the engine can know. */
+    synchronized void connectionClosed(int connection) {
+        Attempt attempt = attemptsByConnection.remove(connection);
+        if (attempt != null && attempt.inFlight()) attemptEnded(attempt, "closed by the gateway", false);
     }
 
-    /** The network did something to a connection: what its engine sends may not arrive. */
+    /** Records that a connection was silenced or reset: what its engine sends may not arrive. */
     synchronized void connectionDisturbed(int connection) {
-        Attempt attempt = byConnection.get(connection);
+        Attempt attempt = attemptsByConnection.get(connection);
         if (attempt == null) return;
         attempt.disturbed = true;
-        // An answer that will not come tells the gateway nothing: to the rules such an attempt is not out.
-        if (attempt.out()) ended(attempt, "its connection falls silent", false);
+        // The answer does not reach the gateway, so that the rules no longer count the attempt as in flight.
+        if (attempt.inFlight()) attemptEnded(attempt, "connection silenced or reset", false);
     }
 
-    /** A reader has read a prompt and holds its state from now on. */
-    synchronized void held(Request request, String engine) {
+    /** Records that a reader has read a prompt and holds its state from now on. */
+    synchronized void stateHeld(Request request, String engine) {
         request.held.put(engine, nowMs());
         request.note("state held at " + engine);
     }
 
-    /** A writer fetches the state: true if any reader still held it. */
-    synchronized boolean taken(Request request, String writer) {
+    /** Records that a writer fetches the state; true if any reader still held it. */
+    synchronized boolean stateTaken(Request request, String writer) {
         boolean any = !request.held.isEmpty();
         request.held.clear();
         if (any) request.note("state taken by " + writer);
         return any;
     }
 
-    synchronized void released(String id) {
+    synchronized void stateReleased(String id) {
         Request request = requests.get(id);
         if (request == null) return;
         if (!request.held.isEmpty()) request.note("state released");
         request.held.clear();
     }
 
-    /** An engine has died, and what it held with it. */
-    synchronized void died(String engine) {
+    /** Records that an engine has died, and all states that it held with it. */
+    synchronized void engineDied(String engine) {
         for (Request request : requests.values()) {
             request.held.remove(engine);
             for (Attempt attempt : request.attempts) {
-                if (attempt.engine.equals(engine) && attempt.out()) ended(attempt, "engine died", false);
+                if (attempt.engine.equals(engine) && attempt.inFlight()) attemptEnded(attempt, "engine died", false);
             }
         }
     }
 
-    /** Looks for states that have been held for too long with no attempt out, and for two attempts out together. */
-    synchronized void check() {
+    /** Checks for states held too long with no attempt in flight, and for two attempts in flight at the same time. */
+    synchronized void runPeriodicChecks() {
         double now = nowMs();
         checkOverlaps(now);
         for (Request request : requests.values()) {
-            if (request.held.isEmpty() || request.ownerKilled || request.heldReported) continue;
-            if (request.attempts.stream().anyMatch(Attempt::out)) continue;
+            if (request.held.isEmpty() || request.gatewayKilled || request.heldReported) continue;
+            if (request.attempts.stream().anyMatch(Attempt::inFlight)) continue;
             double lastEndMs = request.attempts.stream().mapToDouble(a -> a.endedMs).max().orElse(now);
             request.held.forEach((engine, sinceMs) -> {
                 double heldMs = now - Math.max(sinceMs, lastEndMs);
-                if (unreachable.contains(engine) || heldMs <= pinLimitMs + HELD_SLACK_MS + OWN_SLACK_MS) return;
+                if (unreachable.contains(engine) || heldMs <= pinLimitMs + HELD_SLACK_MS + SCHEDULING_SLACK_MS) return;
                 request.heldReported = true;
-                breach(Rule.HELD_STATE, request, "at " + engine + " for " + Math.round(heldMs) + " ms");
+                recordBreach(Rule.HELD_STATE, request, "at " + engine + " for " + Math.round(heldMs) + " ms");
             });
         }
     }
 
-    /** The end of one attempt and the start of the next come on two connections, in either order. */
+    /** The end of one attempt and the start of the next arrive on two connections, in either order. */
     private void checkOverlaps(double now) {
-        List<Overlap> due = overlaps.stream().filter(o -> now - o.later().beganMs > 2 * OVERLAP_MS).toList();
-        overlaps.removeAll(due);
-        for (Overlap overlap : due) {
+        List<Overlap> expired = overlaps.stream().filter(o -> now - o.later().beganMs > 2 * MAX_OVERLAP_MS).toList();
+        overlaps.removeAll(expired);
+        for (Overlap overlap : expired) {
             Request request = overlap.later().request;
-            boolean closedInTime = overlap.earlier().endedMs - overlap.later().beganMs <= OVERLAP_MS;
-            if (closedInTime || request.ownerKilled) continue;
-            breach(Rule.ONE_ATTEMPT_OUT, request, "at " + overlap.earlier().engine + " and " + overlap.later().engine);
+            boolean closedInTime = overlap.earlier().endedMs - overlap.later().beganMs <= MAX_OVERLAP_MS;
+            if (closedInTime || request.gatewayKilled) continue;
+            recordBreach(Rule.ONE_ATTEMPT_OUT, request,
+                    "at " + overlap.earlier().engine + " and " + overlap.later().engine);
         }
     }
 
-    /** Whether some engine began the request. */
-    synchronized boolean begun(Request request) {
+    /** True if an attempt of the request has arrived at any engine. */
+    synchronized boolean hasBegun(Request request) {
         return !request.attempts.isEmpty();
     }
 
-    /** Checks what a client got as a whole stream, or as one that broke off, against what engines sent. */
+    /** Checks a whole or broken-off stream that a client received against what the engines sent. */
     synchronized void checkStream(Request request, String text, boolean whole) {
         if (whole && request.attempts.stream().noneMatch(a -> a.streamed.equals(text))) {
-            breach(Rule.WHOLE_STREAM, request,
-                    "ended as whole with " + text.length() + " characters that no engine sent");
+            recordBreach(Rule.WHOLE_STREAM, request,
+                    "stream ended as complete with " + text.length() + " characters that no engine sent");
         }
         boolean lost = !whole && request.attempts.stream().anyMatch(a -> a.finished && !a.disturbed);
-        if (lost && !request.ownerKilled) breach(Rule.WHOLE_STREAM, request, "a finished stream was cut");
+        if (lost && !request.gatewayKilled)
+            recordBreach(Rule.WHOLE_STREAM, request, "a stream that the engine had finished was broken off");
     }
 
-    synchronized int breaches() {
-        return broken.values().stream().mapToInt(Integer::intValue).sum();
+    synchronized int breachCount() {
+        return breachCounts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
     synchronized String summary() {
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
                 "requests %d served %d refused %d failed %d; broken %s", requests.size(), served, refused, failed,
-                broken));
+                breachCounts));
         reports.forEach(report -> text.append("\n  ").append(report));
         return text.toString();
     }
--- a/src/test/java/maplerail/soak/LoadClients.java
+++ b/src/test/java/maplerail/soak/LoadClients.java
@@ -14,19 +14,20 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Clients of one gateway: an open loop of requests on kept connections, some that leave early and some that are bad. */
+/** Clients of one gateway: open-loop load on keep-alive connections, with some early leavers and malformed requests. */
 final class LoadClients {
     private static final double REQUESTS_PER_S = 5;
-    private static final double LATE_MS = 500; // for which an answer after the deadline only earns nothing
+    /** An answer this late after the deadline is useless, but no breach. */
+    private static final double LATE_TOLERANCE_MS = 500;
     private static final double LEAVE_SHARE = 0.08;
-    private static final double BAD_SHARE = 0.05;
-    private static final int BAD_LIMIT_MS = 3_000;
-    private static final int OWN_SLACK_MS = 150;
-    private static final int STREAM_LIMIT_MS = 15_000;
-    private static final int IN_PIECES_EVERY = 6; // requests, of which one is sent in pieces
-    private static final double MOST_PAUSE_SHARE = 0.25; // of a request's time, between two of its pieces
+    private static final double MALFORMED_SHARE = 0.05;
+    private static final int MALFORMED_TIMEOUT_MS = 3_000;
+    private static final int SCHEDULING_SLACK_MS = 150;
+    private static final int STREAM_READ_TIMEOUT_MS = 15_000;
+    private static final int FRAGMENTED_EVERY = 6; // one request in this many is sent in pieces
+    private static final double MAX_PAUSE_SHARE = 0.25; // of the request's deadline, between two of its pieces
     private static final AtomicLong LAST_ID = new AtomicLong();
-    private static final List<String> BAD = List.of("POST / HTTP/1.1\r\nReq-", "nonsense\r\n\r\n",
+    private static final List<String> MALFORMED = List.of("POST / HTTP/1.1\r\nReq-", "nonsense\r\n\r\n",
             "POST /v1/x HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n",
             "POST /v1/x HTTP/1.1\r\nHost: x\r\nReq-Id: bad\r\nReq-Kind: none\r\nReq-Deadline: 2\r\nContent-Length: 2\r\n\r\n{}",
             "POST /v1/x HTTP/1.1\r\nHost: x\r\nReq-Id: bad\r\nReq-Kind: ask\r\nReq-Deadline: x\r\nContent-Length: 90\r\n\r\n{}",
@@ -50,27 +51,28 @@
     }
 
     void start() {
-        Daemon.start("load " + gateway.name, () -> {
+        DaemonThreads.start("load " + gateway.name, () -> {
             while (!stopped) {
                 Thread.sleep((long) (-Math.log(1 - random.nextDouble()) * 1_000 / REQUESTS_PER_S));
                 double draw = random.nextDouble();
                 int choice = random.nextInt(1 << 20);
-                if (!gateway.takesClients()) {
-                    if (gateway.drains() && !idle.isEmpty()) Daemon.start("client", () -> one(choice, 0, false));
+                if (!gateway.acceptsClients()) {
+                    if (gateway.isDraining() && !idle.isEmpty())
+                        DaemonThreads.start("client", () -> sendRequest(choice, 0, false));
                     continue;
                 }
                 boolean counted = quiet;
-                Daemon.start("client", () -> {
-                    if (draw < BAD_SHARE) bad(BAD.get(choice % BAD.size()));
-                    else if (draw < BAD_SHARE + LEAVE_SHARE) one(choice, 20 + choice % 600, false);
-                    else one(choice, 0, counted);
+                DaemonThreads.start("client", () -> {
+                    if (draw < MALFORMED_SHARE) sendMalformed(MALFORMED.get(choice % MALFORMED.size()));
+                    else if (draw < MALFORMED_SHARE + LEAVE_SHARE) sendRequest(choice, 20 + choice % 600, false);
+                    else sendRequest(choice, 0, counted);
                 });
             }
         });
     }
 
-    /** Whether requests from now on are sent in quiet times, in which they have to be served. */
-    void quiet(boolean on) {
+    /** Sets whether requests from now on are sent in the quiet phase, in which they must be served. */
+    void setQuiet(boolean on) {
         quiet = on;
     }
 
@@ -78,7 +80,7 @@
         stopped = true;
     }
 
-    /** Of the requests sent in quiet times, the share that was served; 1 if there were too few to tell. */
+    /** The served share of the requests sent in the quiet phase; 1 if there were fewer than 5. */
     double quietServedShare() {
         return quietSent.get() < 5 ? 1 : (double) quietServed.get() / quietSent.get();
     }
@@ -87,28 +89,28 @@
     private static final List<Ledger.Repeat> REPEATS = List.of(Ledger.Repeat.PURE, Ledger.Repeat.KEYED,
             Ledger.Repeat.UNSAFE);
 
-    private void one(int choice, int leaveAfterMs, boolean counted) throws Exception {
+    private void sendRequest(int choice, int leaveAfterMs, boolean counted) throws Exception {
         String id = nextId();
         int kind = choice % KINDS.size();
         double budgetMs = settings.deadlineMs * (0.7 + choice % 1_000 / 1_000.0 * 0.7);
-        String text = text(id, choice, budgetMs);
+        String text = requestText(id, choice, budgetMs);
         Socket kept = idle.pollFirst();
-        Ledger.Request request = ledger.sent(id, REPEATS.get(kind), gateway.name, budgetMs);
+        Ledger.Request request = ledger.requestSent(id, REPEATS.get(kind), gateway.name, budgetMs);
         if (counted) quietSent.incrementAndGet();
-        boolean done = kept != null && attempt(kept, request, text, leaveAfterMs, counted, true);
+        boolean done = kept != null && exchange(kept, request, text, leaveAfterMs, counted, true);
         if (done) return;
-        double leftMs = request.deadlineMs - Ledger.nowMs();
-        if (leftMs <= 0) {
-            ledger.answered(request, "given up between two connections");
+        double remainingMs = request.deadlineMs - Ledger.nowMs();
+        if (remainingMs <= 0) {
+            ledger.answered(request, "deadline passed before the retry on a new connection");
             return;
         }
-        // Some of its time may have gone by with pieces on the first connection.
-        String again = kept == null ? text : text(id, choice, leftMs);
-        if (kept != null) ledger.note(request, "sent once more on a new connection");
+        // Sending pieces on the first connection may have used part of the deadline.
+        String retryText = kept == null ? text : requestText(id, choice, remainingMs);
+        if (kept != null) ledger.note(request, "retried on a new connection");
         try {
-            attempt(connect(), request, again, leaveAfterMs, counted, false);
+            exchange(connect(), request, retryText, leaveAfterMs, counted, false);
         } catch (IOException e) {
-            ledger.answered(request, "no connection"); // it was never taken
+            ledger.answered(request, "no connection"); // the gateway never accepted the request
         }
     }
 
@@ -118,39 +120,39 @@
         return socket;
     }
 
-    /** False if a kept connection ended without a byte before the request was read: the client asks once more. */
-    private boolean attempt(Socket socket, Ledger.Request request, String text, int leaveAfterMs, boolean counted,
+    /** False if a kept connection ended without an answer and no engine got the request: the client then retries. */
+    private boolean exchange(Socket socket, Ledger.Request request, String text, int leaveAfterMs, boolean counted,
             boolean kept) throws Exception {
         Answer answer = new Answer();
-        if (leaveAfterMs > 0) leaveLater(socket, request, leaveAfterMs, answer);
+        if (leaveAfterMs > 0) scheduleLeave(socket, request, leaveAfterMs, answer);
         try {
             ledger.sending(request, false);
             send(socket, request, text);
             ledger.sending(request, true);
-            answer.sent = true;
+            answer.requestSent = true;
             answer.read(socket, request);
         } catch (SocketTimeoutException e) {
-            if (!answer.left) overdue(request, answer);
-            Daemon.close(socket);
+            if (!answer.clientLeft) handleTimeout(request, answer);
+            DaemonThreads.closeQuietly(socket);
             return true;
         } catch (IOException e) {
-            Daemon.close(socket);
-            if (answer.left) return true;
-            if (answer.status == 0 && kept && !ledger.begun(request)) return false;
-            closed(request, answer);
+            DaemonThreads.closeQuietly(socket);
+            if (answer.clientLeft) return true;
+            if (answer.status == 0 && kept && !ledger.hasBegun(request)) return false;
+            handleClose(request, answer);
             return true;
         }
-        settle(socket, request, answer, counted);
+        handleAnswer(socket, request, answer, counted);
         return true;
     }
 
-    /** Sends a request in one piece, or in three, with pauses within its head and before its body. */
+    /** Sends a request in one piece, or in three with pauses within its head and before its body. */
     private void send(Socket socket, Ledger.Request request, String text) throws Exception {
         int draw = request.id.hashCode() & Integer.MAX_VALUE;
         int head = text.indexOf("\r\n\r\n") + 4;
-        List<Integer> ends = draw % IN_PIECES_EVERY == 0 ? List.of(head / 2, head, text.length())
+        List<Integer> ends = draw % FRAGMENTED_EVERY == 0 ? List.of(head / 2, head, text.length())
                 : List.of(text.length());
-        double pauseMs = (request.deadlineMs - request.sentMs) * MOST_PAUSE_SHARE * (draw % 97) / 97;
+        double pauseMs = (request.deadlineMs - request.sentMs) * MAX_PAUSE_SHARE * (draw % 97) / 97;
         int from = 0;
         for (int end : ends) {
             if (from > 0) Thread.sleep((long) pauseMs);
@@ -159,19 +161,19 @@
         }
     }
 
-    /** One more request on a connection that is open, as one of a crowd that asks. */
-    void ask(Socket socket) throws Exception {
+    /** Sends a request on an open connection, as one of many clients that send at the same time. */
+    void sendOn(Socket socket) throws Exception {
         int choice = LAST_ID.intValue() & 0xfffff;
-        Ledger.Request request = ledger.sent(nextId(), REPEATS.get(choice % KINDS.size()), gateway.name,
+        Ledger.Request request = ledger.requestSent(nextId(), REPEATS.get(choice % KINDS.size()), gateway.name,
                 settings.deadlineMs);
-        attempt(socket, request, text(request.id, choice, settings.deadlineMs), 0, false, false);
+        exchange(socket, request, requestText(request.id, choice, settings.deadlineMs), 0, false, false);
     }
 
     private String nextId() {
         return String.format(Locale.ROOT, "%s-%06x", gateway.name, LAST_ID.incrementAndGet());
     }
 
-    private static String text(String id, int choice, double budgetMs) {
+    private static String requestText(String id, int choice, double budgetMs) {
         String body = "{\"stream\":true,\"messages\":[]}";
         return String.format(Locale.ROOT, "POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\n"
                 + "Req-Kind: %s\r\nReq-Key: %016x\r\nReq-Deadline: %.3f\r\nReq-Extra: prompt_len=%d,max_out=60\r\n"
@@ -179,38 +181,39 @@
                 200 + choice % 2_000, body.length(), body);
     }
 
-    private void leaveLater(Socket socket, Ledger.Request request, int afterMs, Answer answer) {
-        Daemon.start("leaver", () -> {
+    private void scheduleLeave(Socket socket, Ledger.Request request, int afterMs, Answer answer) {
+        DaemonThreads.start("leaver", () -> {
             Thread.sleep(afterMs);
             if (answer.done) return;
-            answer.left = true;
-            Daemon.close(socket);
-            ledger.left(request);
+            answer.clientLeft = true;
+            DaemonThreads.closeQuietly(socket);
+            ledger.clientLeft(request);
         });
     }
 
-    private void overdue(Ledger.Request request, Answer answer) {
+    private void handleTimeout(Ledger.Request request, Answer answer) {
         if (answer.status == 200) ledger.note(request, "stream stalled");
-        if (request.ownerKilled || answer.status == 200) return;
-        ledger.breach(Ledger.Rule.FINAL_ANSWER, request, "nothing " + Math.round(Ledger.nowMs() - request.deadlineMs)
-                + " ms after the deadline");
+        if (request.gatewayKilled || answer.status == 200) return;
+        ledger.recordBreach(Ledger.Rule.FINAL_ANSWER, request,
+                "no answer " + Math.round(Ledger.nowMs() - request.deadlineMs) + " ms after the deadline");
     }
 
-    private void closed(Ledger.Request request, Answer answer) {
-        if (!answer.sent) {
-            ledger.answered(request, "closed before it was whole"); // it was never taken
+    private void handleClose(Ledger.Request request, Answer answer) {
+        if (!answer.requestSent) {
+            ledger.answered(request, "closed before the request was fully sent"); // the gateway never accepted it
             return;
         }
         if (gateway.hasReadFaults()) {
-            ledger.answered(request, "closed by a fault of the network");
+            ledger.answered(request, "closed by an injected network fault");
             return;
         }
-        if (request.answerOwed) {
-            ledger.breach(Ledger.Rule.FINAL_ANSWER, request, "sent over 0.7 s after SIGTERM, found by SIGKILL");
+        if (request.answerWasDue) {
+            ledger.recordBreach(Ledger.Rule.FINAL_ANSWER, request,
+                    "sent over 0.7 s after SIGTERM, unanswered at SIGKILL");
             return;
         }
-        if (request.ownerKilled || !gateway.takesClients() && !ledger.begun(request)) {
-            ledger.answered(request, "closed by an end");
+        if (request.gatewayKilled || !gateway.acceptsClients() && !ledger.hasBegun(request)) {
+            ledger.answered(request, "closed by the end of the gateway");
             return;
         }
         if (answer.status == 200) {
@@ -218,14 +221,14 @@
             ledger.answered(request, "broken");
             return;
         }
-        ledger.breach(Ledger.Rule.CONNECTION_CLOSED_OVER_A_REQUEST, request, "no answer after "
+        ledger.recordBreach(Ledger.Rule.CONNECTION_CLOSED_OVER_A_REQUEST, request, "no answer after "
                 + Math.round(Ledger.nowMs() - request.sentMs) + " ms");
     }
 
-    private void settle(Socket socket, Ledger.Request request, Answer answer, boolean counted) {
-        double lateMs = answer.firstMs - request.deadlineMs;
-        if (lateMs > LATE_MS + OWN_SLACK_MS) {
-            ledger.breach(Ledger.Rule.FINAL_ANSWER, request, "late by " + Math.round(lateMs) + " ms");
+    private void handleAnswer(Socket socket, Ledger.Request request, Answer answer, boolean counted) {
+        double lateMs = answer.firstLineMs - request.deadlineMs;
+        if (lateMs > LATE_TOLERANCE_MS + SCHEDULING_SLACK_MS) {
+            ledger.recordBreach(Ledger.Rule.FINAL_ANSWER, request, "answer late by " + Math.round(lateMs) + " ms");
         }
         if (answer.status == 200) {
             ledger.checkStream(request, answer.events.toString(), true);
@@ -235,84 +238,84 @@
             ledger.answered(request, answer.status == 503 || answer.status == 429 ? "refused" : "failed");
         }
         if (answer.keepAlive) idle.addFirst(socket);
-        else Daemon.close(socket);
+        else DaemonThreads.closeQuietly(socket);
     }
 
-    private void bad(String text) throws InterruptedException {
+    private void sendMalformed(String text) throws InterruptedException {
         double startMs = Ledger.nowMs();
         try (Socket socket = connect()) {
-            socket.setSoTimeout(BAD_LIMIT_MS + OWN_SLACK_MS);
+            socket.setSoTimeout(MALFORMED_TIMEOUT_MS + SCHEDULING_SLACK_MS);
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             int first = socket.getInputStream().read();
             if (first >= 0 && !new String(socket.getInputStream().readNBytes(8), StandardCharsets.US_ASCII)
                     .startsWith("TTP/1.1 ")) {
-                ledger.breach(Ledger.Rule.BAD_CLIENT, null, gateway.name + " answered no HTTP");
+                ledger.recordBreach(Ledger.Rule.BAD_CLIENT, null, gateway.name + " sent an answer that is not HTTP");
             }
         } catch (SocketTimeoutException e) {
-            if (!gateway.takesClients()) return;
-            ledger.breach(Ledger.Rule.BAD_CLIENT, null, gateway.name + " said nothing for "
+            if (!gateway.acceptsClients()) return;
+            ledger.recordBreach(Ledger.Rule.BAD_CLIENT, null, gateway.name + " sent nothing for "
                     + Math.round(Ledger.nowMs() - startMs) + " ms to: " + text.replace("\r\n", "|"));
         } catch (IOException e) {
-            return; // a close is what it is owed, too
+            return; // closing the connection is a correct response, too
         }
     }
 
-    /** What has come back for one request. */
+    /** The response to one request. */
     private final class Answer {
-        volatile boolean left;
+        volatile boolean clientLeft;
         volatile boolean done;
-        /** The last byte of the request has been written. */
-        boolean sent;
+        /** True once the last byte of the request has been written. */
+        boolean requestSent;
         int status;
-        double firstMs;
+        double firstLineMs;
         boolean keepAlive = true;
         final StringBuilder events = new StringBuilder();
 
         void read(Socket socket, Ledger.Request request) throws IOException {
-            double limitMs = request.deadlineMs + LATE_MS + OWN_SLACK_MS - Ledger.nowMs();
+            double limitMs = request.deadlineMs + LATE_TOLERANCE_MS + SCHEDULING_SLACK_MS - Ledger.nowMs();
             socket.setSoTimeout((int) Math.max(1, limitMs));
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            String first = line(in);
-            firstMs = Ledger.nowMs();
+            String first = readLine(in);
+            firstLineMs = Ledger.nowMs();
             status = Integer.parseInt(first.split(" ")[1]);
-            socket.setSoTimeout(STREAM_LIMIT_MS);
+            socket.setSoTimeout(STREAM_READ_TIMEOUT_MS);
             int length = 0;
             boolean chunked = false;
-            for (String line = line(in); !line.isEmpty(); line = line(in)) {
+            for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
                 String lower = line.toLowerCase(Locale.ROOT);
                 if (lower.startsWith("content-length:")) length = Integer.parseInt(lower.substring(15).trim());
                 if (lower.startsWith("connection:") && lower.contains("close")) keepAlive = false;
                 chunked |= lower.startsWith("transfer-encoding:");
             }
-            if (chunked) chunks(in);
+            if (chunked) readChunks(in);
             else in.readNBytes(length);
             done = true;
         }
 
-        private void chunks(InputStream in) throws IOException {
-            for (int size = size(in); size > 0; size = size(in)) {
+        private void readChunks(InputStream in) throws IOException {
+            for (int size = readChunkSize(in); size > 0; size = readChunkSize(in)) {
                 events.append(new String(in.readNBytes(size), StandardCharsets.UTF_8));
-                line(in);
+                readLine(in);
             }
-            line(in);
+            readLine(in);
         }
 
-        private int size(InputStream in) throws IOException {
-            return Integer.parseInt(line(in).trim(), 16);
+        private int readChunkSize(InputStream in) throws IOException {
+            return Integer.parseInt(readLine(in).trim(), 16);
         }
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
-            if (c < 0) throw new IOException("ended");
+            if (c < 0) throw new IOException("the connection ended");
             if (c != '\r') line.append((char) c);
         }
         return line.toString();
     }
 
-    /** Connections that rest, for closing them at the end. */
+    /** Closes the idle connections. */
     void closeIdle() {
-        new ArrayDeque<>(idle).forEach(Daemon::close);
+        new ArrayDeque<>(idle).forEach(DaemonThreads::closeQuietly);
     }
 }
--- a/src/test/java/maplerail/soak/ShimControl.java
+++ b/src/test/java/maplerail/soak/ShimControl.java
@@ -7,9 +7,9 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** The control file of src/test/native/faultshim.c: what goes wrong in one process from now on. */
+/** The control file of src/test/native/faultshim.c, which sets the faults that one process sees from now on. */
 final class ShimControl {
-    /** Error numbers of Linux. */
+    /** The errno values of Linux. */
     static final int EIO = 5;
     static final int ENFILE = 23;
     static final int EMFILE = 24;
@@ -24,7 +24,7 @@
 
     private final MappedByteBuffer control;
 
-    /** A 32-bit field of struct control, by its place in the file. */
+    /** A 32-bit field of struct control, with its offset in the file in bytes. */
     enum Field {
         ACCEPT_ERRNO(8), CONNECT_ERRNO(12), SOCKET_ERRNO(16), READ_ERRNO(20), READ_PERMILLE(24), SHORT_IO(
                 28), EINTR_PERMILLE(32), OPEN_ERRNO(36);
@@ -44,7 +44,7 @@
         control.order(ByteOrder.nativeOrder());
     }
 
-    /** Steps the wall clock to so far from the true one. */
+    /** Sets the offset of the wall clock from the true time, in milliseconds. */
     void wallOffsetMs(long offsetMs) {
         control.putLong(0, offsetMs);
     }
@@ -53,7 +53,7 @@
         control.putInt(field.at, value);
     }
 
-    /** Ends all faults; the wall clock stays where it is. */
+    /** Ends all faults; the offset of the wall clock stays. */
     void clear() {
         for (Field field : Field.values()) set(field, 0);
     }
--- a/src/test/java/maplerail/soak/SoakFleet.java
+++ b/src/test/java/maplerail/soak/SoakFleet.java
@@ -14,128 +14,131 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Gateways, engines, agents and clients of one run. */
+/** The gateways, engines, discovery agents and clients of one run. */
 final class SoakFleet implements AutoCloseable {
     private static final int READERS = 5;
     private static final int WRITERS = 5;
-    private static final int HELD_LOOK_MS = 20;
+    private static final int CHECK_INTERVAL_MS = 20;
     /** Two zones, one of them with two cells; each with readers and writers. */
-    private static final List<Ledger.Place> PLACES = List.of(new Ledger.Place("a", 0), new Ledger.Place("a", 1),
-            new Ledger.Place("b", 2));
+    private static final List<Ledger.Location> LOCATIONS = List.of(new Ledger.Location("a", 0),
+            new Ledger.Location("a", 1), new Ledger.Location("b", 2));
 
     final Ledger ledger;
-    final Directory directory = new Directory();
+    final EngineDirectory directory = new EngineDirectory();
     final List<EngineStandIn> engines = new ArrayList<>();
     final List<GatewayProcess> gateways = new ArrayList<>();
     final List<LoadClients> clients = new ArrayList<>();
     private final Set<Object> busy = ConcurrentHashMap.newKeySet();
     private volatile boolean closed;
 
-    /** Something that is done to an engine. */
-    interface EngineTrouble {
-        void befall(EngineStandIn engine) throws Exception;
+    /** An action on an engine. */
+    interface EngineAction {
+        void apply(EngineStandIn engine) throws Exception;
     }
 
     SoakFleet(SoakSettings settings, Path folder, Path shim, String command, SplittableRandom random) throws Exception {
         ledger = new Ledger(settings);
         for (int i = 0; i < READERS + WRITERS; i++) {
             EngineStandIn engine = new EngineStandIn((i < READERS ? "r" : "w") + i, i < READERS,
-                    PLACES.get(i % PLACES.size()), ledger, settings);
-            ledger.stands(engine.host, engine.place);
+                    LOCATIONS.get(i % LOCATIONS.size()), ledger, settings);
+            ledger.addEngine(engine.host, engine.location);
             engines.add(engine);
-            directory.list(engine);
+            directory.publish(engine);
         }
-        ExecutorService starting = Executors.newFixedThreadPool(settings.gateways);
+        ExecutorService starters = Executors.newFixedThreadPool(settings.gateways);
         List<Future<?>> started = new ArrayList<>();
         for (int i = 0; i < settings.gateways; i++) {
             GatewayProcess gateway = new GatewayProcess("g" + i, folder, shim, command, directory, ledger, settings);
             gateways.add(gateway);
             clients.add(new LoadClients(gateway, ledger, settings, random.split()));
-            started.add(starting.submit(() -> {
+            started.add(starters.submit(() -> {
                 gateway.start();
                 return null;
             }));
         }
         for (Future<?> one : started) one.get();
-        starting.shutdown();
-        Daemon.start("held states", () -> {
+        starters.shutdown();
+        DaemonThreads.start("held states", () -> {
             while (!closed) {
-                ledger.check();
-                gateways.forEach(GatewayProcess::countAsTold);
-                Thread.sleep(HELD_LOOK_MS);
+                ledger.runPeriodicChecks();
+                gateways.forEach(GatewayProcess::recordAssumedDeliveries);
+                Thread.sleep(CHECK_INTERVAL_MS);
             }
         });
     }
 
-    /** Does something to a gateway that nothing else is being done to; the same engine or gateway is not hit twice. */
-    void withOneGateway(SplittableRandom random, Trouble.GatewayTrouble what) throws Exception {
+    /** Applies an action to a random gateway, unless another action on it is in progress. */
+    void withOneGateway(SplittableRandom random, Trouble.GatewayAction action) throws Exception {
         GatewayProcess gateway = gateways.get(random.nextInt(gateways.size()));
         if (!busy.add(gateway)) return;
         try {
-            what.befall(gateway);
+            action.apply(gateway);
         } finally {
             busy.remove(gateway);
         }
     }
 
-    void withOneEngine(SplittableRandom random, EngineTrouble what) throws Exception {
-        withEngine(engines.get(random.nextInt(engines.size())), what);
+    void withOneEngine(SplittableRandom random, EngineAction action) throws Exception {
+        withEngine(engines.get(random.nextInt(engines.size())), action);
     }
 
-    void withOneReader(SplittableRandom random, EngineTrouble what) throws Exception {
-        withEngine(engines.get(random.nextInt(READERS)), what);
+    void withOneReader(SplittableRandom random, EngineAction action) throws Exception {
+        withEngine(engines.get(random.nextInt(READERS)), action);
     }
 
-    private void withEngine(EngineStandIn engine, EngineTrouble what) throws Exception {
+    private void withEngine(EngineStandIn engine, EngineAction action) throws Exception {
         if (!busy.add(engine)) return;
         try {
-            what.befall(engine);
+            action.apply(engine);
         } finally {
             busy.remove(engine);
         }
     }
 
-    /** Does something to some of the engines of a role at once, at most to all of them. */
-    void withRole(boolean readers, SplittableRandom random, EngineTrouble what, EngineTrouble after, int forMs)
+    /**
+     * Applies an action to a random share of the engines of a role at the same time, skipping those on which another
+     * action is in progress, and undoes it after some time.
+     */
+    void withRole(boolean readers, SplittableRandom random, EngineAction action, EngineAction undo, int forMs)
             throws Exception {
-        List<EngineStandIn> hit = new ArrayList<>();
+        List<EngineStandIn> affected = new ArrayList<>();
         double share = 0.25 + 0.75 * random.nextDouble();
         for (EngineStandIn engine : engines) {
-            if (engine.reader == readers && random.nextDouble() < share && busy.add(engine)) hit.add(engine);
+            if (engine.reader == readers && random.nextDouble() < share && busy.add(engine)) affected.add(engine);
         }
         try {
-            for (EngineStandIn engine : hit) what.befall(engine);
+            for (EngineStandIn engine : affected) action.apply(engine);
             TimeUnit.MILLISECONDS.sleep(forMs);
         } finally {
-            for (EngineStandIn engine : hit) after.befall(engine);
-            busy.removeAll(hit);
+            for (EngineStandIn engine : affected) undo.apply(engine);
+            busy.removeAll(affected);
         }
     }
 
-    /** Does something to gateways one after another, passing over those to which something else is being done. */
-    void withGatewaysInTurn(int most, Trouble.GatewayTrouble what) throws Exception {
-        for (GatewayProcess gateway : gateways.subList(0, Math.min(most, gateways.size()))) {
+    /** Applies an action to gateways one after another, skipping those on which another action is in progress. */
+    void withGatewaysInTurn(int maxCount, Trouble.GatewayAction action) throws Exception {
+        for (GatewayProcess gateway : gateways.subList(0, Math.min(maxCount, gateways.size()))) {
             if (!busy.add(gateway)) continue;
             try {
-                what.befall(gateway);
+                action.apply(gateway);
             } finally {
                 busy.remove(gateway);
             }
         }
     }
 
-    /** Has a request sent on each of these connections to a gateway, and its answer judged like any other. */
-    void askAtOnce(GatewayProcess gateway, List<Socket> crowd) {
-        LoadClients asking = clients.get(gateways.indexOf(gateway));
-        for (Socket socket : crowd) Daemon.start("crowd", () -> asking.ask(socket));
+    /** Sends a request on each of these connections to a gateway at the same time; the answers are checked as usual. */
+    void sendAtOnce(GatewayProcess gateway, List<Socket> crowd) {
+        LoadClients sender = clients.get(gateways.indexOf(gateway));
+        for (Socket socket : crowd) DaemonThreads.start("crowd", () -> sender.sendOn(socket));
     }
 
     List<DiscoveryAgent> agents() {
         return gateways.stream().map(GatewayProcess::agent).toList();
     }
 
-    /** Lines of the gateways' own rule checks. */
-    long ownBreaches() throws IOException {
+    /** Counts the breaches that the gateways' own rule monitors have logged. */
+    long loggedBreaches() throws IOException {
         long count = 0;
         for (GatewayProcess gateway : gateways) {
             try (var lines = Files.lines(gateway.log())) {
--- a/src/test/java/maplerail/soak/SoakSettings.java
+++ b/src/test/java/maplerail/soak/SoakSettings.java
@@ -4,36 +4,37 @@
 import java.util.SplittableRandom;
 import maplerail.soak.Ledger.Scope;
 
-/** The settings that a run's gateways are told, drawn from its seed within what the protocol page allows. */
+/** The gateway settings of a run, drawn from its seed within the limits of the protocol page. */
 final class SoakSettings {
-    private static final int LEAST_DEADLINE_FOR_TOKENS = 6; // times the first token, so that quiet service is possible
+    /** The minimum deadline in first-token times, so that requests can be served in the quiet phase. */
+    private static final int MIN_DEADLINE_IN_TOKEN_TIMES = 6;
 
     final int gateways;
     final double deadlineMs;
-    /** What a sound writer takes for a first token, about. */
+    /** The approximate time that a healthy writer takes for the first token, in milliseconds. */
     final int firstTokenMs;
     final double pinLimitMs;
     final double keyWindowMs;
-    /** Which engines drop the repeats of keyed work. */
+    /** The engines among which repeats of keyed requests are deduplicated. */
     final Scope keyScope;
-    final int mostAttempts = 6;
+    final int maxAttempts = 6;
     final double startCapacity = 0.25;
     final double tipMultiple = 2.5;
     final double warmAfterMs;
     final double overloadForMs = 2_000;
-    /** Of a warm engine; the gateways' load together is well under it. */
+    /** The capacity of a warm engine; the total load of the gateways is well below it. */
     final double engineRequestsPerS = 12;
     private final double connIdleMs;
 
     SoakSettings(int gateways, SplittableRandom random) {
         this.gateways = gateways;
         deadlineMs = random.nextBoolean() ? 800 + random.nextInt(900) : 2_500 + random.nextInt(2_000);
-        firstTokenMs = 30 + random.nextInt((int) Math.min(270, deadlineMs / LEAST_DEADLINE_FOR_TOKENS));
+        firstTokenMs = 30 + random.nextInt((int) Math.min(270, deadlineMs / MIN_DEADLINE_IN_TOKEN_TIMES));
         pinLimitMs = random.nextInt(3) == 0 ? 250 : 500;
         keyWindowMs = 1_500 + random.nextInt(2_500);
         warmAfterMs = 6_000 + random.nextInt(6_000);
         connIdleMs = 2_000 + random.nextInt(8_000);
-        // Drawn last, so that earlier seeds keep all else.
+        // Drawn last, so that all other settings of older seeds stay the same.
         keyScope = Scope.values()[random.nextInt(Scope.values().length)];
     }
 
@@ -46,7 +47,7 @@
                 + "\"localities\":[\"a\",\"b\"],\"shapes\":[\"prefill\",\"decode\"],\"parties\":[],"
                 + "\"rules\":{\"answerSlackMs\":16.0,\"startCapacity\":%.2f,\"tipMultiple\":%.1f,\"overloadForMs\":%.1f,"
                 + "\"warmAfterMs\":%.1f,\"mustAskInMs\":10000.0,\"drainGraceMs\":250.0}}", gateways, pinLimitMs,
-                lane("ask", "pure"), lane("move", "token"), lane("book", "side_effect"), connIdleMs, mostAttempts,
+                lane("ask", "pure"), lane("move", "token"), lane("book", "side_effect"), connIdleMs, maxAttempts,
                 startCapacity, tipMultiple, overloadForMs, warmAfterMs);
     }
 
--- a/src/test/java/maplerail/soak/Trouble.java
+++ b/src/test/java/maplerail/soak/Trouble.java
@@ -10,36 +10,36 @@
 import maplerail.soak.EngineStandIn.Behaviour;
 import maplerail.soak.ShimControl.Field;
 
-/** What can go wrong in a run. Each one begins, lasts for some time and leaves things sound again. */
+/** The faults that a run injects. Each one begins, lasts for some time and then restores normal service. */
 enum Trouble {
     RESTART {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             withOneGateway(fleet, random, GatewayProcess::restart);
         }
     },
     CRASH {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             withOneGateway(fleet, random, GatewayProcess::crashAndStart);
         }
     },
     NEW_CONFIGURATION {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             withOneGateway(fleet, random, gateway -> gateway.moveDiscovery(0, 0));
         }
     },
     NEW_CONFIGURATION_UNREADABLE_AT_FIRST {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             int forMs = 100 + random.nextInt(900);
             withOneGateway(fleet, random, gateway -> gateway.moveDiscovery(ShimControl.EIO, forMs));
         }
     },
     CLOCK_STEP_AND_RESTART {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             long[] steps = {3_600_000, -3_600_000, 7_000, -7_000};
             long offsetMs = steps[random.nextInt(steps.length)];
             withOneGateway(fleet, random, gateway -> {
@@ -50,7 +50,7 @@
     },
     SYSTEM_CALLS_FAIL {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             Field[] fields = {Field.ACCEPT_ERRNO, Field.CONNECT_ERRNO, Field.SOCKET_ERRNO};
             int[][] errors = {{ShimControl.ECONNABORTED, ShimControl.ENFILE, ShimControl.EMFILE, ShimControl.ENOBUFS},
                     {ShimControl.EADDRNOTAVAIL, ShimControl.ENETUNREACH},
@@ -67,22 +67,22 @@
     },
     SHORT_AND_BROKEN_READS {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             int error = random.nextBoolean() ? ShimControl.ETIMEDOUT : ShimControl.EHOSTUNREACH;
             int permille = random.nextInt(3) * 5;
-            int shortest = 1 + random.nextInt(200);
+            int maxIoBytes = 1 + random.nextInt(200);
             withOneGateway(fleet, random, gateway -> {
-                gateway.readFaults(permille == 0 ? 0 : error, permille, shortest);
+                gateway.setReadFaults(permille == 0 ? 0 : error, permille, maxIoBytes);
                 gateway.shim.set(Field.EINTR_PERMILLE, 100);
                 TimeUnit.MILLISECONDS.sleep(3_000);
-                gateway.readFaults(0, 0, 0);
+                gateway.setReadFaults(0, 0, 0);
                 gateway.shim.clear();
             });
         }
     },
     GATEWAY_STALLS {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             withOneGateway(fleet, random, gateway -> {
                 for (int i = 0; i < 6; i++) {
                     gateway.stall(STALL_MS);
@@ -93,87 +93,87 @@
     },
     ENGINE_MISBEHAVES {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
-            Behaviour[] bad = {Behaviour.HANGS, Behaviour.FAILS, Behaviour.RESETS, Behaviour.SLOW,
-                    Behaviour.TURNS_AWAY};
-            Behaviour how = bad[random.nextInt(bad.length)];
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
+            Behaviour[] candidates = {Behaviour.HANGS, Behaviour.FAILS, Behaviour.RESETS, Behaviour.SLOW,
+                    Behaviour.DECLINES};
+            Behaviour behaviour = candidates[random.nextInt(candidates.length)];
             int forMs = 2_000 + random.nextInt(4_000);
             fleet.withOneEngine(random, engine -> {
-                engine.behave(how);
+                engine.setBehaviour(behaviour);
                 TimeUnit.MILLISECONDS.sleep(forMs);
-                engine.behave(Behaviour.SOUND);
+                engine.setBehaviour(Behaviour.HEALTHY);
             });
         }
     },
     WRITERS_STOP {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
-            fleet.withRole(false, random, engine -> engine.behave(Behaviour.STOPPED),
-                    engine -> engine.behave(Behaviour.SOUND), 800 + random.nextInt(2_400));
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
+            fleet.withRole(false, random, engine -> engine.setBehaviour(Behaviour.STOPPED),
+                    engine -> engine.setBehaviour(Behaviour.HEALTHY), 800 + random.nextInt(2_400));
         }
     },
     ROLLING_RESTART {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
-            fleet.withGatewaysInTurn(MOST_IN_TURN, GatewayProcess::reloadAndRestart);
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
+            fleet.withGatewaysInTurn(MAX_GATEWAYS_IN_TURN, GatewayProcess::reloadAndRestart);
         }
     },
     IDLE_CROWD {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             int forMs = 1_000 + random.nextInt(2_000);
-            boolean asks = random.nextBoolean();
+            boolean crowdSends = random.nextBoolean();
             withOneGateway(fleet, random, gateway -> {
                 List<Socket> crowd = new ArrayList<>();
                 try {
-                    for (int i = 0; i < CROWD; i++) crowd.add(new Socket("127.0.0.1", gateway.port));
-                    // Those that ask look after their connections themselves.
-                    List<Socket> asking = asks ? List.copyOf(crowd.subList(0, CROWD_ASKS)) : List.of();
-                    crowd.removeAll(asking);
-                    fleet.askAtOnce(gateway, asking);
+                    for (int i = 0; i < CROWD_SIZE; i++) crowd.add(new Socket("127.0.0.1", gateway.port));
+                    // The clients that send a request close their connections themselves.
+                    List<Socket> senders = crowdSends ? List.copyOf(crowd.subList(0, CROWD_SENDERS)) : List.of();
+                    crowd.removeAll(senders);
+                    fleet.sendAtOnce(gateway, senders);
                     TimeUnit.MILLISECONDS.sleep(forMs);
                 } catch (IOException e) {
-                    return; // it was not up
+                    return; // the gateway was not up
                 } finally {
-                    crowd.forEach(Daemon::close);
+                    crowd.forEach(DaemonThreads::closeQuietly);
                 }
             });
         }
     },
     ENGINE_RESTARTS {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             int listLateMs = 100 + random.nextInt(1_500);
             int downMs = 500 + random.nextInt(3_000);
             fleet.withOneEngine(random, engine -> {
                 engine.kill();
                 TimeUnit.MILLISECONDS.sleep(listLateMs);
                 engine.health = "terminated";
-                fleet.directory.list(engine);
+                fleet.directory.publish(engine);
                 TimeUnit.MILLISECONDS.sleep(downMs);
                 engine.start();
                 engine.health = "in_service";
                 TimeUnit.MILLISECONDS.sleep(listLateMs);
-                fleet.directory.list(engine);
+                fleet.directory.publish(engine);
             });
         }
     },
     ENGINE_DRAINS {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             int forMs = 2_000 + random.nextInt(3_000);
             fleet.withOneEngine(random, engine -> {
                 engine.health = "terminating";
-                fleet.directory.list(engine);
+                fleet.directory.publish(engine);
                 TimeUnit.MILLISECONDS.sleep(forMs);
                 engine.health = "in_service";
-                fleet.directory.list(engine);
+                fleet.directory.publish(engine);
             });
         }
     },
     CONNECTIONS_FALL_SILENT {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             fleet.withOneEngine(random, engine -> {
                 engine.proxy.silenceOpenConnections();
                 TimeUnit.MILLISECONDS.sleep(500);
@@ -182,90 +182,91 @@
     },
     ENGINE_CUT_OFF {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             int forMs = 1_000 + random.nextInt(4_000);
             fleet.withOneEngine(random, engine -> {
-                fleet.ledger.reach(engine.host, false);
-                engine.proxy.cut(true);
+                fleet.ledger.setReachable(engine.host, false);
+                engine.proxy.setCutOff(true);
                 TimeUnit.MILLISECONDS.sleep(forMs);
-                engine.proxy.cut(false);
-                fleet.ledger.reach(engine.host, true);
+                engine.proxy.setCutOff(false);
+                fleet.ledger.setReachable(engine.host, true);
             });
         }
     },
     CONNECTIONS_RESET {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
-            fleet.withOneEngine(random, engine -> engine.proxy.reset());
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
+            fleet.withOneEngine(random, engine -> engine.proxy.resetConnections());
         }
     },
     NETWORK_SLOW {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             fleet.withOneEngine(random, engine -> {
-                engine.proxy.hold(200);
+                engine.proxy.delayBytes(200);
                 TimeUnit.MILLISECONDS.sleep(300);
             });
         }
     },
     DISCOVERY_SILENT {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             int forMs = 1_000 + random.nextInt(5_000);
             boolean busy = random.nextBoolean();
             List<DiscoveryAgent> agents = fleet.agents();
             for (DiscoveryAgent agent : agents) {
-                if (busy) agent.busy(true);
-                else agent.silence(true);
+                if (busy) agent.setBusy(true);
+                else agent.setSilent(true);
             }
             TimeUnit.MILLISECONDS.sleep(forMs);
             for (DiscoveryAgent agent : agents) {
-                agent.silence(false);
-                agent.busy(false);
+                agent.setSilent(false);
+                agent.setBusy(false);
             }
         }
     },
-    /** Readers stop, some of them in the middle of reads, and go on with what they had begun. */
+    /** Readers stop, some of them in the middle of reads, and later continue the reads that they had begun. */
     READERS_STOP {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             fleet.withRole(true, random, engine -> {
-                // What is held there can be let go only once it runs again.
-                fleet.ledger.reach(engine.host, false);
-                engine.behave(Behaviour.STOPPED);
+                // States held there can be released only once the reader runs again.
+                fleet.ledger.setReachable(engine.host, false);
+                engine.setBehaviour(Behaviour.STOPPED);
             }, engine -> {
-                engine.behave(Behaviour.SOUND);
-                fleet.ledger.reach(engine.host, true);
+                engine.setBehaviour(Behaviour.HEALTHY);
+                fleet.ledger.setReachable(engine.host, true);
             }, 800 + random.nextInt(2_400));
         }
     },
-    /** New connections to a reader come up and work, but each falls silent in the middle of a read, which goes on. */
+    /** New connections to a reader work at first, but each falls silent in the middle of a read, which goes on. */
     READER_LOSES_READS {
         @Override
-        void play(SoakFleet fleet, SplittableRandom random) throws Exception {
+        void inject(SoakFleet fleet, SplittableRandom random) throws Exception {
             int forMs = 1_000 + random.nextInt(2_000);
             fleet.withOneReader(random, reader -> {
-                reader.behave(Behaviour.LOSES_READS);
+                reader.setBehaviour(Behaviour.LOSES_READS);
                 TimeUnit.MILLISECONDS.sleep(forMs);
-                reader.behave(Behaviour.SOUND);
+                reader.setBehaviour(Behaviour.HEALTHY);
             });
         }
     };
 
-    private static final int STALL_MS = 120; // with what the signals take, up to 150
-    private static final int MOST_IN_TURN = 3;
-    private static final int CROWD = 150; // idle clients: over half of the places of one gateway
-    private static final int CROWD_ASKS = 60; // of them, in some runs, all at once
+    private static final int STALL_MS = 120; // up to 150 ms including the time to send the signals
+    private static final int MAX_GATEWAYS_IN_TURN = 3;
+    private static final int CROWD_SIZE = 150; // idle clients: over half of the connections that one gateway allows
+    private static final int CROWD_SENDERS = 60; // of the crowd, in some runs, send a request all at once
 
-    /** Something that is done to a gateway. */
-    interface GatewayTrouble {
-        void befall(GatewayProcess gateway) throws Exception;
+    /** An action on a gateway. */
+    interface GatewayAction {
+        void apply(GatewayProcess gateway) throws Exception;
     }
 
-    abstract void play(SoakFleet fleet, SplittableRandom random) throws Exception;
+    abstract void inject(SoakFleet fleet, SplittableRandom random) throws Exception;
 
-    private static void withOneGateway(SoakFleet fleet, SplittableRandom random, GatewayTrouble what) throws Exception {
-        fleet.withOneGateway(random, what);
+    private static void withOneGateway(SoakFleet fleet, SplittableRandom random, GatewayAction action)
+            throws Exception {
+        fleet.withOneGateway(random, action);
     }
 
     String label() {
