--- a/src/test/native/faultshim.c
+++ b/src/test/native/faultshim.c
@@ -1,7 +1,7 @@
 /*
- * Makes system calls of one process fail or its wall clock step, as a control file says that another process maps
- * and writes. Preloaded with LD_PRELOAD; the file is named by FAULTSHIM_CONTROL. Without it, nothing is changed.
- * The layout of struct control is also in maplerail.soak.ShimControl.
+ * A preloaded library (LD_PRELOAD) that makes system calls of a process fail and offsets its wall clock. Another process
+ * maps the control file and sets the faults in it. FAULTSHIM_CONTROL names the file; without it nothing is changed.
+ * maplerail.soak.ShimControl repeats the layout of struct control.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -21,14 +21,14 @@
 
 struct control {
     volatile int64_t wall_offset_ms;
-    volatile int32_t accept_errno;   /* of every accept while not 0 */
-    volatile int32_t connect_errno;  /* of every connect to an IPv4 address */
-    volatile int32_t socket_errno;   /* of every socket() for IPv4 */
-    volatile int32_t read_errno;     /* of reads on sockets, as often as read_permille says */
+    volatile int32_t accept_errno;   /* errno of every accept; 0 for no fault */
+    volatile int32_t connect_errno;  /* errno of every connect to an IPv4 address */
+    volatile int32_t socket_errno;   /* errno of every socket() for IPv4 */
+    volatile int32_t read_errno;     /* errno of reads on IPv4 sockets, at the rate read_permille */
     volatile int32_t read_permille;
-    volatile int32_t short_io;       /* most bytes that a read or write on a socket takes; 0 for no limit */
-    volatile int32_t eintr_permille; /* of waits that end with EINTR */
-    volatile int32_t open_errno;     /* of opening a file that ends in config.json */
+    volatile int32_t short_io;       /* maximum bytes of a read or write on an IPv4 socket; 0 for no limit */
+    volatile int32_t eintr_permille; /* rate of epoll_wait calls that fail with EINTR */
+    volatile int32_t open_errno;     /* errno of opening a file whose name ends in config.json */
 };
 
 static struct control *control;
@@ -43,15 +43,16 @@
     if (mapped != MAP_FAILED) control = mapped;
 }
 
-#define REAL(name) ((__typeof__(&name)) real(&real_##name, #name))
+#define REAL(name) ((__typeof__(&name)) resolve(&real_##name, #name))
 
-static void *real(void **known, const char *name) {
-    if (*known == NULL) *known = dlsym(RTLD_NEXT, name);
-    return *known;
+/* Returns the next definition of a function after this library's, looked up once. */
+static void *resolve(void **cached, const char *name) {
+    if (*cached == NULL) *cached = dlsym(RTLD_NEXT, name);
+    return *cached;
 }
 
-/* True as often as a rate in thousandths says; which calls are hit does not matter. */
-static int strikes(int32_t permille) {
+/* Returns 1 at a rate in thousandths, from a pseudo-random generator of its own in each thread. */
+static int at_rate(int32_t permille) {
     static __thread uint32_t state;
     if (permille <= 0) return 0;
     if (state == 0) state = (uint32_t) (uintptr_t) &state | 1;
@@ -65,7 +66,8 @@
     return getsockname(fd, (struct sockaddr *) &address, &length) == 0 && address.ss_family == AF_INET;
 }
 
-static int fails(int error) {
+/* Sets errno and returns 1, or returns 0 if error is 0. */
+static int fail_with(int error) {
     if (error == 0) return 0;
     errno = error;
     return 1;
@@ -88,36 +90,36 @@
     return result;
 }
 
-time_t time(time_t *out) {
+time_t time(time_t *result) {
     time_t now = REAL(time)(NULL);
     if (control != NULL) now += control->wall_offset_ms / 1000;
-    if (out != NULL) *out = now;
+    if (result != NULL) *result = now;
     return now;
 }
 
 int accept(int fd, struct sockaddr *restrict address, socklen_t *restrict length) {
-    if (control != NULL && fails(control->accept_errno)) return -1;
+    if (control != NULL && fail_with(control->accept_errno)) return -1;
     return REAL(accept)(fd, address, length);
 }
 
 int accept4(int fd, struct sockaddr *restrict address, socklen_t *restrict length, int flags) {
-    if (control != NULL && fails(control->accept_errno)) return -1;
+    if (control != NULL && fail_with(control->accept_errno)) return -1;
     return REAL(accept4)(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
-    if (control != NULL && domain == AF_INET && fails(control->socket_errno)) return -1;
+    if (control != NULL && domain == AF_INET && fail_with(control->socket_errno)) return -1;
     return REAL(socket)(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
-    if (control != NULL && address->sa_family == AF_INET && fails(control->connect_errno)) return -1;
+    if (control != NULL && address->sa_family == AF_INET && fail_with(control->connect_errno)) return -1;
     return REAL(connect)(fd, address, length);
 }
 
 ssize_t read(int fd, void *buffer, size_t count) {
     if (control != NULL && (control->read_errno != 0 || control->short_io > 0) && is_inet_socket(fd)) {
-        if (strikes(control->read_permille) && fails(control->read_errno)) return -1;
+        if (at_rate(control->read_permille) && fail_with(control->read_errno)) return -1;
         if (control->short_io > 0 && count > (size_t) control->short_io) count = (size_t) control->short_io;
     }
     return REAL(read)(fd, buffer, count);
@@ -130,20 +132,21 @@
     return REAL(write)(fd, buffer, count);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
-    if (control != NULL && strikes(control->eintr_permille) && fails(EINTR)) return -1;
-    return REAL(epoll_wait)(fd, events, most, timeout);
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
+    if (control != NULL && at_rate(control->eintr_permille) && fail_with(EINTR)) return -1;
+    return REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
-static int config_fails(const char *path) {
+static int fail_config_open(const char *path) {
     size_t length = strlen(path);
-    const char *end = "config.json";
-    size_t end_length = strlen(end);
-    return control != NULL && control->open_errno != 0 && length >= end_length
-            && strcmp(path + length - end_length, end) == 0 && fails(control->open_errno);
+    const char *suffix = "config.json";
+    size_t suffix_length = strlen(suffix);
+    return control != NULL && control->open_errno != 0 && length >= suffix_length
+            && strcmp(path + length - suffix_length, suffix) == 0 && fail_with(control->open_errno);
 }
 
-#define MODE(flags) \
+/* Declares mode, read from the variable arguments if flags contain O_CREAT. */
+#define READ_MODE(flags) \
     mode_t mode = 0; \
     if (((flags) & O_CREAT) != 0) { \
         va_list rest; \
@@ -153,19 +156,19 @@
     }
 
 int open(const char *path, int flags, ...) {
-    MODE(flags)
-    if (config_fails(path)) return -1;
+    READ_MODE(flags)
+    if (fail_config_open(path)) return -1;
     return REAL(open)(path, flags, mode);
 }
 
 int open64(const char *path, int flags, ...) {
-    MODE(flags)
-    if (config_fails(path)) return -1;
+    READ_MODE(flags)
+    if (fail_config_open(path)) return -1;
     return REAL(open64)(path, flags, mode);
 }
 
-int openat(int folder, const char *path, int flags, ...) {
-    MODE(flags)
-    if (config_fails(path)) return -1;
-    return REAL(openat)(folder, path, flags, mode);
+int openat(int directory, const char *path, int flags, ...) {
+    READ_MODE(flags)
+    if (fail_config_open(path)) return -1;
+    return REAL(openat)(directory, path, flags, mode);
 }
