--- a/src/test/java/maplerail/cli/DeclinedWriteIT.java
+++ b/src/test/java/maplerail/cli/DeclinedWriteIT.java
@@ -40,7 +40,7 @@
                 exchange.reply(204, "");
                 return;
             }
-            reader.times.out(id(exchange));
+            reader.times.attemptInFlight(id(exchange));
             reader.times.declined(id(exchange));
             exchange.write(begin);
             while (!over.await(PIECE_EVERY_MS, TimeUnit.MILLISECONDS)) exchange.write(more);
@@ -54,8 +54,8 @@
                         writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
-            CompletableFuture.runAsync(() -> gateway.say(World.request("a1", kind, LONG_S)));
-            reader.times.assertLetGoInTime("a1");
+            CompletableFuture.runAsync(() -> gateway.exchange(World.request("a1", kind, LONG_S)));
+            reader.times.assertReleasedInTime("a1");
         }
     }
 
--- a/src/test/java/maplerail/cli/DrainTest.java
+++ b/src/test/java/maplerail/cli/DrainTest.java
@@ -24,7 +24,7 @@
     void whatWasTakenIsFinishedAndWhatStillArrivesIsServed() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
         });
@@ -38,7 +38,7 @@
             send(after, request("a2", "lookup", "5.0"));
             for (StandIn.Exchange stream : new StandIn.Exchange[] {first, take(streams)}) {
                 stream.chunk("data: [DONE]\n\n");
-                stream.last();
+                stream.endStream();
             }
             world.gateway.join();
             assertThat(World.readAll(before.getInputStream())).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
@@ -52,7 +52,7 @@
     void whatArrivesAfterTheTimeToArriveIsRefusedAndNotSentOn() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
         });
@@ -64,7 +64,7 @@
             await("nothing more is taken", () -> !world.gateway.phase().acceptsRequests());
             send(client, request("a2", "lookup", "5.0"));
             first.chunk("data: [DONE]\n\n");
-            first.last();
+            first.endStream();
             assertThat(World.readAll(client.getInputStream())).contains("[DONE]", "\r\n0\r\n\r\nHTTP/1.1 503");
             world.gateway.join();
             assertThat(reader.count("POST")).isEqualTo(1);
@@ -77,7 +77,7 @@
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         String event = "data: " + "x".repeat(1_000) + "\n\n";
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
-            x.stream();
+            x.startStream();
             streams.add(x);
         });
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
@@ -88,7 +88,7 @@
             StandIn.Exchange stream = take(streams);
             send(client, request("a2", "lookup", "60") + request("a3", "lookup", "60").substring(0, 40));
             for (int i = 0; i < 100; i++) stream.chunk(event);
-            stream.last();
+            stream.endStream();
             String answer = World.readAll(client.getInputStream());
             assertThat(answer.split("data: x", -1)).hasSize(101);
             assertThat(answer).contains("\r\n0\r\n\r\n").doesNotContain("<reset>");
@@ -99,7 +99,7 @@
     void connectionsThatEndedInMidRequestDoNotHoldUpTheExit() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
         }); World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
@@ -134,7 +134,7 @@
             if (exchange.method.equals("DELETE")) answered.await();
             exchange.reply(exchange.method.equals("DELETE") ? 204 : 202, "");
         });
-                StoppableEngine writer = new StoppableEngine(StandIn.Exchange::awaitEnd);
+                StoppableEngine writer = new StoppableEngine(StandIn.Exchange::awaitClose);
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer.address(),
                         "in_service").start();
                 Socket client = world.connect()) {
--- a/src/test/java/maplerail/cli/FinalAnswerIT.java
+++ b/src/test/java/maplerail/cli/FinalAnswerIT.java
@@ -43,11 +43,11 @@
     private record StuckAnswer(String begin, String piece) {
         void give(StandIn.Exchange x) throws Exception {
             x.write(begin);
-            while (!piece.isEmpty() && !x.isEnded()) {
+            while (!piece.isEmpty() && !x.isClosedByPeer()) {
                 x.write(piece);
                 TimeUnit.MILLISECONDS.sleep(PIECE_MS);
             }
-            x.awaitEnd();
+            x.awaitClose();
         }
     }
 
@@ -196,7 +196,7 @@
             int port = gateway.readyPort();
             gateway.signal("STOP");
             Map<String, CompletableFuture<Seen>> asked = askAll(port);
-            World.pass(STOPPED_FOR_MS);
+            World.pause(STOPPED_FOR_MS);
             gateway.signal("CONT");
             assertInTime(asked, gateway);
         }
--- a/src/test/java/maplerail/cli/HeldStateIT.java
+++ b/src/test/java/maplerail/cli/HeldStateIT.java
@@ -45,9 +45,9 @@
                 return;
             }
             TimeUnit.MILLISECONDS.sleep(firstTokenMs);
-            exchange.stream();
+            exchange.startStream();
             exchange.chunk("data: [DONE]\n\n");
-            exchange.last();
+            exchange.endStream();
         });
     }
 
@@ -66,8 +66,8 @@
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
             writer.stop();
-            gateway.say(World.request("a1", "repair-order", "1.5"));
-            times.assertLetGoInTime("a1");
+            gateway.exchange(World.request("a1", "repair-order", "1.5"));
+            times.assertReleasedInTime("a1");
         }
     }
 
@@ -80,11 +80,11 @@
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
             for (int i = 0; i < WARM_REQUESTS; i++) {
-                assertThat(gateway.say(World.request("warm" + i, "repair-order", "5.0"))).contains("[DONE]");
+                assertThat(gateway.exchange(World.request("warm" + i, "repair-order", "5.0"))).contains("[DONE]");
             }
             writer.stop();
-            gateway.say(World.request("a1", "repair-order", "1.5"));
-            times.assertLetGoInTime("a1");
+            gateway.exchange(World.request("a1", "repair-order", "1.5"));
+            times.assertReleasedInTime("a1");
         }
     }
 
@@ -100,8 +100,8 @@
             gateway.readyPort();
             one.stop();
             other.stop();
-            for (int i = 0; i < WARM_REQUESTS; i++) gateway.say(World.request("a" + i, "lookup", "2.0"));
-            for (int i = 0; i < WARM_REQUESTS; i++) times.assertLetGoInTime("a" + i);
+            for (int i = 0; i < WARM_REQUESTS; i++) gateway.exchange(World.request("a" + i, "lookup", "2.0"));
+            for (int i = 0; i < WARM_REQUESTS; i++) times.assertReleasedInTime("a" + i);
         }
     }
 }
--- a/src/test/java/maplerail/cli/JarIT.java
+++ b/src/test/java/maplerail/cli/JarIT.java
@@ -45,7 +45,7 @@
     void theProgramServesAndFinishesWhatItTookAfterTheSignal() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
         }); World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)) {
@@ -62,9 +62,9 @@
                             .getBytes(StandardCharsets.UTF_8));
                     StandIn.Exchange stream = World.take(streams);
                     gateway.destroy(); // SIGTERM
-                    await("draining", () -> program.say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").contains(" 503 "));
+                    await("draining", () -> program.exchange("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").contains(" 503 "));
                     stream.chunk("data: [DONE]\n\n");
-                    stream.last();
+                    stream.endStream();
                     InputStream in = client.getInputStream();
                     assertThat(World.readAll(in)).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
                 }
@@ -80,7 +80,7 @@
     void aHangupMovesTheWatchAndKeepsWhatIsOpen() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         StandIn.Handler begin = x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
         };
@@ -109,13 +109,13 @@
                     await("moved", () -> log().contains("discovery is at"));
                     await("watched", () -> next.discovery().count("GET /api/targets?index=") > 0);
                     stream.chunk("data: [DONE]\n\n");
-                    stream.last();
+                    stream.endStream();
                     client.getOutputStream()
                             .write(World.request("a2", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
                     await("the new list holds", () -> other.count("POST") == 1);
                     gateway.destroy();
                     stream = World.take(streams);
-                    stream.last();
+                    stream.endStream();
                     assertThat(World.readAll(client.getInputStream())).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
                 }
                 await("ended", () -> !gateway.isAlive());
@@ -164,7 +164,7 @@
                 assertThat(silent.get(0).getInputStream().read()).isNegative();
                 for (Socket socket : silent) socket.close();
                 long freeNanos = System.nanoTime();
-                assertThat(program.say(World.request("a1", "lookup", "5.0"))).contains("[DONE]");
+                assertThat(program.exchange(World.request("a1", "lookup", "5.0"))).contains("[DONE]");
                 assertThat(System.nanoTime() - freeNanos).as("until a client is served").isLessThan(1_000_000_000L);
             } finally {
                 gateway.destroyForcibly();
@@ -189,7 +189,7 @@
                 int port = program.readyPort();
                 for (int i = 0; i < FEW_DESCRIPTORS; i++) silent.add(new Socket("127.0.0.1", port));
                 long sentNanos = System.nanoTime();
-                assertThat(program.say(World.request("a1", "lookup", "9.0"))).contains("[DONE]");
+                assertThat(program.exchange(World.request("a1", "lookup", "9.0"))).contains("[DONE]");
                 double waitedAtMost = (System.nanoTime() - sentNanos) / 1e9;
                 assertThat(waitedAtMost).as("it waited in the backlog").isGreaterThan(1);
                 // Some of that time was spent after it was passed on, on a machine that may be busy.
--- a/src/test/java/maplerail/cli/LeftLongIT.java
+++ b/src/test/java/maplerail/cli/LeftLongIT.java
@@ -33,7 +33,7 @@
                 return;
             }
             reads.release();
-            exchange.awaitEnd();
+            exchange.awaitClose();
         });
                 StandIn writer = World.writer();
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
--- a/src/test/java/maplerail/cli/LostReadIT.java
+++ b/src/test/java/maplerail/cli/LostReadIT.java
@@ -48,7 +48,7 @@
     }
 
     private static CompletableFuture<String> ask(GatewayProgram gateway, String id, String kind) {
-        return CompletableFuture.supplyAsync(() -> gateway.say(World.request(id, kind, LONG_S)));
+        return CompletableFuture.supplyAsync(() -> gateway.exchange(World.request(id, kind, LONG_S)));
     }
 
     /** However many releases came before the state was there. */
@@ -56,12 +56,12 @@
     @CsvSource({"0, lookup", "300, lookup", "600, lookup", "1100, lookup", "0, repair-order", "300, repair-order",
             "600, repair-order", "1100, repair-order"})
     void aStateWhoseReadIsNeverAnsweredIsLetGoInTime(int readMs, String kind) throws Exception {
-        try (SilentReader reader = new SilentReader((r, read) -> r.lose(read, readMs, ""));
+        try (SilentReader reader = new SilentReader((r, read) -> r.loseAnswer(read, readMs, ""));
                 StandIn writer = World.writer();
                 World world = world(writer, reader);
                 GatewayProgram gateway = gateway(world)) {
             ask(gateway, "a1", kind);
-            reader.times.assertLetGoInTime("a1");
+            reader.times.assertReleasedInTime("a1");
         }
     }
 
@@ -73,7 +73,7 @@
         try (SilentReader reader = new SilentReader((r, read) -> {
             if (id(read).equals("a1")) {
                 r.silenceConnections();
-                r.lose(read, readMs, "");
+                r.loseAnswer(read, readMs, "");
             }
             together.await();
             r.answer(read);
@@ -86,7 +86,7 @@
             CompletableFuture.allOf(warm).get(TEST_S, TimeUnit.SECONDS);
             assertThat(reader.connections()).isGreaterThanOrEqualTo(KEPT_CONNECTIONS);
             ask(gateway, "a1", "repair-order");
-            reader.times.assertLetGoInTime("a1");
+            reader.times.assertReleasedInTime("a1");
         }
     }
 
@@ -94,20 +94,20 @@
     private static StandIn fetchingWriter(SilentReader reader) throws Exception {
         return new StandIn(exchange -> {
             if (exchange.method.equals("POST")) reader.times.taken(id(exchange));
-            exchange.stream();
+            exchange.startStream();
             exchange.chunk("data: [DONE]\n\n");
-            exchange.last();
+            exchange.endStream();
         });
     }
 
     /** Answers a read in part, after its state is there. */
     private void assertLetGoInTimeAfter(String heard) throws Exception {
-        try (SilentReader reader = new SilentReader((r, read) -> r.lose(read, 300, heard));
+        try (SilentReader reader = new SilentReader((r, read) -> r.loseAnswer(read, 300, heard));
                 StandIn writer = fetchingWriter(reader);
                 World world = world(writer, reader);
                 GatewayProgram gateway = gateway(world)) {
             ask(gateway, "a1", "repair-order");
-            reader.times.assertLetGoInTime("a1");
+            reader.times.assertReleasedInTime("a1");
         }
     }
 
@@ -132,7 +132,7 @@
         try (SilentReader reader = new SilentReader((r, read) -> {
             reading.countDown();
             left.await();
-            r.lose(read, readMs, "");
+            r.loseAnswer(read, readMs, "");
         });
                 StandIn writer = World.writer();
                 World world = world(writer, reader);
@@ -142,7 +142,7 @@
             assertThat(reading.await(TEST_S, TimeUnit.SECONDS)).isTrue();
             client.close();
             left.countDown();
-            reader.times.assertLetGoInTime("a1");
+            reader.times.assertReleasedInTime("a1");
         }
     }
 
@@ -164,8 +164,8 @@
     @ValueSource(ints = {0, 300, 600, 1100, 2000})
     void aStateIsLetGoInTimeThoughItsRequestMayGoOnAtAnotherReader(int readMs) throws Exception {
         Set<String> lost = ConcurrentHashMap.newKeySet();
-        SilentReader.Reading loseOnce = (reader, read) -> {
-            if (id(read).equals("a1") && lost.add(id(read))) reader.lose(read, readMs, "");
+        SilentReader.ReadHandler loseOnce = (reader, read) -> {
+            if (id(read).equals("a1") && lost.add(id(read))) reader.loseAnswer(read, readMs, "");
             reader.answer(read);
         };
         try (SilentReader one = new SilentReader(loseOnce);
@@ -177,8 +177,8 @@
                 assertThat(ask(gateway, "warm" + i, "lookup").get(TEST_S, TimeUnit.SECONDS)).contains("[DONE]");
             }
             ask(gateway, "a1", "lookup");
-            World.await("lost", () -> one.lost("a1") || other.lost("a1"));
-            (one.lost("a1") ? one : other).times.assertLetGoInTime("a1");
+            World.await("lost", () -> one.isAnswerLost("a1") || other.isAnswerLost("a1"));
+            (one.isAnswerLost("a1") ? one : other).times.assertReleasedInTime("a1");
         }
     }
 }
--- a/src/test/java/maplerail/cli/ReleaseElsewhereIT.java
+++ b/src/test/java/maplerail/cli/ReleaseElsewhereIT.java
@@ -44,7 +44,7 @@
         Set<String> mine = ConcurrentHashMap.newKeySet();
         return new StandIn(exchange -> {
             if (exchange.method.equals("DELETE")) {
-                if (mine.contains(exchange.target.replaceFirst(".*/", ""))) exchange.awaitEnd();
+                if (mine.contains(exchange.target.replaceFirst(".*/", ""))) exchange.awaitClose();
                 else release(exchange);
                 return;
             }
@@ -74,9 +74,9 @@
                 return;
             }
             inUse.remove(id(exchange));
-            exchange.stream();
+            exchange.startStream();
             exchange.chunk("data: [DONE]\n\n");
-            exchange.last();
+            exchange.endStream();
         });
     }
 
@@ -90,10 +90,10 @@
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
             for (int i = 0; i < WARM_REQUESTS; i++) {
-                assertThat(gateway.say(World.request("warm" + i, "lookup", "5.0"))).contains("[DONE]");
+                assertThat(gateway.exchange(World.request("warm" + i, "lookup", "5.0"))).contains("[DONE]");
             }
             for (String id : List.of("a1", "a2", "a3")) {
-                assertThat(gateway.say(World.request(id, "lookup", "5.0"))).contains("[DONE]");
+                assertThat(gateway.exchange(World.request(id, "lookup", "5.0"))).contains("[DONE]");
             }
             assertThat(released).as("requests released while their second read was out or its state waited for")
                     .isEmpty();
--- a/src/test/java/maplerail/cli/ReleaseOutOfReachIT.java
+++ b/src/test/java/maplerail/cli/ReleaseOutOfReachIT.java
@@ -28,10 +28,10 @@
     private StandIn readerOutOfReach() throws Exception {
         return new StandIn(exchange -> {
             if (exchange.method.equals("DELETE")) {
-                exchange.awaitEnd();
+                exchange.awaitClose();
                 return;
             }
-            times.out(id(exchange));
+            times.attemptInFlight(id(exchange));
             times.held(id(exchange));
             exchange.reply(202, "{\"cached_tokens\":0}");
         });
@@ -49,8 +49,8 @@
                 release(exchange);
                 return;
             }
-            times.out(id(exchange));
-            exchange.awaitEnd();
+            times.attemptInFlight(id(exchange));
+            exchange.awaitClose();
             times.declined(id(exchange));
         });
     }
@@ -64,8 +64,8 @@
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
-            CompletableFuture.runAsync(() -> gateway.say(World.request("a1", kind, DEADLINE_S)));
-            times.assertLetGoInTime("a1");
+            CompletableFuture.runAsync(() -> gateway.exchange(World.request("a1", kind, DEADLINE_S)));
+            times.assertReleasedInTime("a1");
         }
     }
 }
--- a/src/test/java/maplerail/cli/RequestLogIT.java
+++ b/src/test/java/maplerail/cli/RequestLogIT.java
@@ -25,7 +25,7 @@
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         try (StandIn reader = World.reader();
                 StandIn writer = new StandIn(x -> {
-                    x.stream();
+                    x.startStream();
                     x.chunk("data: 1\n\n");
                     streams.add(x);
                 });
--- a/src/test/java/maplerail/cli/SlowEngineIT.java
+++ b/src/test/java/maplerail/cli/SlowEngineIT.java
@@ -61,7 +61,7 @@
                 StandIn writes = engine(writer);
                 World world = new World().engine("r", "prefill", reads).engine("w", "decode", writes);
                 GatewayProgram gateway = gateway(world)) {
-            String answer = gateway.say(World.request("a1", "repair-order", "6.0"));
+            String answer = gateway.exchange(World.request("a1", "repair-order", "6.0"));
             assertThat(answer).as(gateway.log()).startsWith("HTTP/1.1 200").contains("slowly").contains("[DONE]")
                     .endsWith("\r\n0\r\n\r\n");
             assertThat(writes.count("POST")).isEqualTo(1);
@@ -74,7 +74,7 @@
 
     private static void finish(StandIn.Exchange x) throws Exception {
         x.chunk("data: [DONE]\n\n");
-        x.last();
+        x.endStream();
     }
 
     @ParameterizedTest
@@ -82,7 +82,7 @@
     void aStreamOfAWriterThatWritesAByteAtATimeIsPassedOnToItsEnd(int spanMs) throws Exception {
         assertServed(SlowEngineIT::read, x -> {
             x.write(HEAD);
-            x.drip(CHUNK, spanMs);
+            x.writeSlowly(CHUNK, spanMs);
             finish(x);
         });
     }
@@ -91,7 +91,7 @@
     @ValueSource(ints = {400, 2_000})
     void aStreamThatPausesInTheMiddleOfAChunkIsPassedOnToItsEnd(int pauseMs) throws Exception {
         assertServed(SlowEngineIT::read, x -> {
-            x.stream();
+            x.startStream();
             x.chunk(EVENT);
             x.write(CHUNK.substring(0, 20));
             TimeUnit.MILLISECONDS.sleep(pauseMs);
@@ -104,7 +104,7 @@
     @ValueSource(ints = {300, 1_200})
     void aWriterWhoseHeadComesAByteAtATimeServes(int spanMs) throws Exception {
         assertServed(SlowEngineIT::read, x -> {
-            x.drip(HEAD, spanMs);
+            x.writeSlowly(HEAD, spanMs);
             x.chunk(EVENT);
             finish(x);
         });
@@ -113,8 +113,8 @@
     @ParameterizedTest
     @ValueSource(ints = {300, 1_200})
     void aReaderWhoseAnswerComesAByteAtATimeReads(int spanMs) throws Exception {
-        assertServed(x -> x.drip(READ, spanMs), x -> {
-            x.stream();
+        assertServed(x -> x.writeSlowly(READ, spanMs), x -> {
+            x.startStream();
             x.chunk(EVENT);
             finish(x);
         });
@@ -126,11 +126,11 @@
         AtomicReference<Double> stoppedMs = new AtomicReference<>();
         try (StandIn reads = engine(SlowEngineIT::read);
                 StandIn writes = engine(x -> {
-                    x.stream();
+                    x.startStream();
                     x.chunk(EVENT);
                     x.write(CHUNK.substring(0, 20));
                     stoppedMs.set(nowMs());
-                    x.awaitEnd();
+                    x.awaitClose();
                 });
                 World world = new World().engine("r", "prefill", reads).engine("w", "decode", writes);
                 GatewayProgram gateway = gateway(world);
@@ -165,12 +165,12 @@
                 return;
             }
             x.write("HTTP/1.1 202 Accepted\r\n" + stops);
-            x.awaitEnd();
+            x.awaitClose();
         });
                 StandIn writes = engine(x -> x.reply(500, ""));
                 World world = new World().engine("r", "prefill", reads).engine("w", "decode", writes);
                 GatewayProgram gateway = gateway(world)) {
-            assertThat(gateway.say(World.request("a1", "repair-order", "2.0"))).startsWith("HTTP/1.1 ");
+            assertThat(gateway.exchange(World.request("a1", "repair-order", "2.0"))).startsWith("HTTP/1.1 ");
             await("released", () -> reads.count("DELETE") > 0);
             for (int i = 1; i < callsMs.size(); i++) {
                 double heldMs = callsMs.get(i) - callsMs.get(i - 1);
--- a/src/test/java/maplerail/cli/ToldDeadlineIT.java
+++ b/src/test/java/maplerail/cli/ToldDeadlineIT.java
@@ -58,9 +58,9 @@
         });
                 StandIn writer = new StandIn(exchange -> {
                     hear(exchange);
-                    exchange.stream();
+                    exchange.startStream();
                     exchange.chunk("data: [DONE]\n\n");
-                    exchange.last();
+                    exchange.endStream();
                 });
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
@@ -91,7 +91,7 @@
             try (Socket client = new Socket("127.0.0.1", port)) {
                 sent("a1");
                 write(client, text.substring(0, body));
-                World.pass(PIECES_FOR_MS);
+                World.pause(PIECES_FOR_MS);
                 write(client, text.substring(body));
                 World.readUntil(client, "[DONE]");
             }
@@ -111,7 +111,7 @@
                 sent("a2");
                 for (int i = 0; i < text.length(); i += piece) {
                     write(client, text.substring(i, Math.min(text.length(), i + piece)));
-                    World.pass(PIECES_FOR_MS / 20);
+                    World.pause(PIECES_FOR_MS / 20);
                 }
                 World.readUntil(client, "[DONE]");
             }
@@ -127,14 +127,14 @@
             sent("warm");
             write(clients.get(0), request("warm"));
             World.readUntil(clients.get(0), "[DONE]");
-            World.pass(RESTS_FOR_MS);
+            World.pause(RESTS_FOR_MS);
             gateway.signal("STOP");
             for (int i = 0; i < 7; i++) {
                 if (i > 0) clients.add(new Socket("127.0.0.1", port));
                 sent("s" + i);
                 write(clients.get(i), request("s" + i));
             }
-            World.pass(STOPPED_FOR_MS);
+            World.pause(STOPPED_FOR_MS);
             gateway.signal("CONT");
             for (Socket client : clients) World.readUntil(client, "HTTP/1.1 ");
             for (Socket client : clients) client.close();
--- a/src/test/java/maplerail/discovery/PlatformWatchTest.java
+++ b/src/test/java/maplerail/discovery/PlatformWatchTest.java
@@ -32,7 +32,7 @@
                     else x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
                 });
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
-                        .discoveredBy(agent)) {
+                        .withDiscovery(agent)) {
             world.start();
             await("asked again and again", () -> atNanos.size() >= 4);
             assertThat(agent.seen.subList(1, 4)).allMatch(seen -> seen.startsWith("GET /api/targets?index=7&"));
@@ -52,11 +52,11 @@
                         case 2 -> x.reply(200, "{\"seq\":-7,\"whole\":true,\"hosts\":[]}");
                         case 3 -> x.reply(200, "[]");
                         case 4 -> x.reply(200, "{\"whole\":true,\"hosts\":[]}");
-                        default -> x.awaitEnd();
+                        default -> x.awaitClose();
                     }
                 });
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
-                        .discoveredBy(agent)) {
+                        .withDiscovery(agent)) {
             world.start();
             await("asked again", () -> asked.get() >= 5);
             assertThat(agent.seen.subList(1, 5)).as("anew").containsOnly("GET /api/targets");
@@ -72,11 +72,11 @@
                 StandIn writer = World.writer();
                 StandIn agent = new StandIn(x -> {
                     atNanos.add(System.nanoTime());
-                    if (atNanos.size() > 1) x.awaitEnd();
+                    if (atNanos.size() > 1) x.awaitClose();
                     else x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
                 });
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
-                        .discoveredBy(agent)) {
+                        .withDiscovery(agent)) {
             world.start();
             await("opened anew", () -> atNanos.size() >= 3);
             assertThat(atNanos.get(2) - atNanos.get(1)).isLessThan(4_500_000_000L);
@@ -88,10 +88,10 @@
     void aListThatKeepsComingIsHeard() throws Exception {
         String list = "{\"seq\":7,\"whole\":true,\"hosts\":[]}";
         try (StandIn agent = new StandIn(x -> {
-            if (!x.target.equals("/api/targets")) x.awaitEnd();
+            if (!x.target.equals("/api/targets")) x.awaitClose();
             x.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
-            x.drip(list, 5_000);
-        }); World world = new World().discoveredBy(agent)) {
+            x.writeSlowly(list, 5_000);
+        }); World world = new World().withDiscovery(agent)) {
             String unknown = world.config("127.0.0.1:0").replaceFirst("\"known\":\\{.*?\\]\\},", "");
             assertThat(unknown).doesNotContain("known");
             Gateway gateway = new Gateway(NodeConfig.read(unknown, Map.of()), null);
@@ -112,13 +112,13 @@
         AtomicInteger asked = new AtomicInteger();
         try (StandIn agent = new StandIn(x -> {
             if (asked.incrementAndGet() > 1) {
-                x.awaitEnd();
+                x.awaitClose();
                 return;
             }
             x.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            x.drip(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n0\r\n\r\n", 1_000);
-        }); World world = new World().discoveredBy(agent)) {
-            world.begin();
+            x.writeSlowly(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n0\r\n\r\n", 1_000);
+        }); World world = new World().withDiscovery(agent)) {
+            world.startWithoutWaiting();
             await("asked again", () -> asked.get() > 1);
             assertThat(agent.seen.get(1)).startsWith("GET /api/targets?index=7&");
         }
@@ -132,8 +132,8 @@
             atNanos.add(System.nanoTime());
             if (atNanos.size() == 1) x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
             else x.write("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"seq\":9,");
-            if (atNanos.size() > 1) x.awaitEnd();
-        }); World world = new World().discoveredBy(agent)) {
+            if (atNanos.size() > 1) x.awaitClose();
+        }); World world = new World().withDiscovery(agent)) {
             world.start();
             await("opened anew", () -> atNanos.size() >= 3);
             assertThat(atNanos.get(2) - atNanos.get(1)).isLessThan(4_500_000_000L);
@@ -161,11 +161,11 @@
                 StandIn other = World.writer();
                 StandIn agent = new StandIn(x -> {
                     if (x.target.endsWith("wait=0")) first.add(x);
-                    else x.awaitEnd();
+                    else x.awaitClose();
                 });
                 World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer)
-                        .engine("w2", "decode", other).discoveredBy(agent)) {
-            world.begin();
+                        .engine("w2", "decode", other).withDiscovery(agent)) {
+            world.startWithoutWaiting();
             StandIn.Exchange asked = take(first);
             assertThat(world.gateway.phase()).isEqualTo(Phase.STARTING);
             Socket early = world.connect();
@@ -195,11 +195,11 @@
                 StandIn writer = World.writer();
                 StandIn agent = new StandIn(x -> {
                     if (x.target.endsWith("wait=0")) first.add(x);
-                    else x.awaitEnd();
+                    else x.awaitClose();
                 });
                 World world = new World().engine("r1", "prefill", draining).engine("w", "decode", writer)
-                        .discoveredBy(agent)) {
-            world.begin();
+                        .withDiscovery(agent)) {
+            world.startWithoutWaiting();
             StandIn.Exchange asked = take(first);
             try (Socket early = world.connect()) {
                 String closing = request("a1", "lookup", "5.0").replaceFirst("\r\n", "\r\nConnection: close\r\n");
@@ -231,7 +231,7 @@
                         ? "{\"seq\":9,\"whole\":false,\"hosts\":[]}"
                         : "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"w1\",\"dial\":\"" + writer.address()
                                 + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"in_service\"}]}"));
-                World moved = new World().discoveredBy(agent)) {
+                World moved = new World().withDiscovery(agent)) {
             world.start();
             await("the first list heard", () -> world.discovery().count("GET /api/targets?index=") > 0);
             world.gateway.reload(NodeConfig.read(moved.config("127.0.0.1:0"), Map.of()));
--- a/src/test/java/maplerail/front/ClientListenerTest.java
+++ b/src/test/java/maplerail/front/ClientListenerTest.java
@@ -54,7 +54,7 @@
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         String whole = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: one\n\n");
             streams.add(x);
         });
@@ -69,7 +69,7 @@
             assertThat(World.readAll(half.getInputStream())).startsWith("HTTP/1.1 408");
             assertThat(World.readAll(halfBody.getInputStream())).startsWith("HTTP/1.1 408");
             open.chunk("data: two\n\n");
-            open.last();
+            open.endStream();
             assertThat(World.readAll(waiting.getInputStream())).contains("data: one\n\n").endsWith("\r\n0\r\n\r\n");
             assertThat(writer.count("POST")).isEqualTo(1);
         }
@@ -161,7 +161,7 @@
                             + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"terminating\"}]}");
                 });
                 World world = new World().sockets(128).engine("r", "prefill", reader).engine("w1", "decode", writer)
-                        .engine("w2", "decode", other).discoveredBy(agent).start()) {
+                        .engine("w2", "decode", other).withDiscovery(agent).start()) {
             for (int i = 0; i < 300; i++) idle.add(world.connect());
             back.countDown();
             await("discovery is heard", () -> agent.count("GET /api/targets?index=9&") > 0);
--- a/src/test/java/maplerail/front/PlatformTest.java
+++ b/src/test/java/maplerail/front/PlatformTest.java
@@ -72,10 +72,10 @@
     /** A gateway that starts anew serves from the list that it last had, though discovery says nothing. */
     @Test
     void theKnownListServesWhileDiscoveryIsSilent() throws Exception {
-        try (StandIn silent = new StandIn(StandIn.Exchange::awaitEnd);
+        try (StandIn silent = new StandIn(StandIn.Exchange::awaitClose);
                 StandIn reader = World.reader();
                 StandIn writer = World.writer();
-                World world = new World().discoveredBy(silent).engine("r", "prefill", reader)
+                World world = new World().withDiscovery(silent).engine("r", "prefill", reader)
                         .engine("w", "decode", writer).start()) {
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
         }
@@ -118,9 +118,9 @@
                 case "error" -> x.reply(500, "");
                 case "reset" -> x.reset();
                 default -> {
-                    x.stream();
+                    x.startStream();
                     x.chunk("data: 1\n\n");
-                    x.last();
+                    x.endStream();
                 }
             }
         };
@@ -139,7 +139,7 @@
     @Test
     void aBrokenStreamEndsTheConnectionWithNoLastChunk() throws Exception {
         StandIn.Handler handler = x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: 1\n\ndata: hal");
             x.reset();
         };
@@ -157,7 +157,7 @@
     @ValueSource(strings = {"", "0", "0\r\n", "0\r\n\r"})
     void aStreamCutRightBeforeTheEndOfItsLastChunkIsNotWhole(String end) throws Exception {
         StandIn.Handler handler = x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: [DONE]\n\n");
             x.write(end);
             x.reset();
@@ -175,17 +175,17 @@
             "99\r\ndata: 2\n\n\r\n0\r\n\r\n"})
     void aSpoiltStreamIsNeverWhole(String spoilt) throws Exception {
         StandIn.Handler handler = x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: 1\n\n");
             x.write(spoilt);
-            x.awaitEnd();
+            x.awaitClose();
         };
         try (StandIn reader = World.reader();
                 StandIn writer = new StandIn(handler);
                 World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).endsWith("data: 1\n\n\r\n").doesNotContain("data: 2").doesNotContain("\r\n0\r\n");
-            await("the spoilt connection ended", () -> writer.ended() == 1);
+            await("the spoilt connection ended", () -> writer.closedConnections() == 1);
         }
     }
 
@@ -194,7 +194,7 @@
     void aHeadThatCannotBeReadIsAnAttemptThatMayHaveRun(String head) throws Exception {
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
             x.write(head);
-            x.awaitEnd();
+            x.awaitClose();
         }); World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             assertThat(world.exchange(request("a1", "repair-order", "15.0"))).startsWith("HTTP/1.1 502");
             assertThat(writer.count("POST")).isEqualTo(1);
@@ -242,7 +242,7 @@
         BlockingQueue<String> ended = World.queue();
         StandIn.Handler silent = x -> {
             waiting.add(x);
-            x.awaitEnd();
+            x.awaitClose();
             ended.add(x.headers.get("req-id"));
         };
         try (StandIn reader = World.reader();
@@ -312,11 +312,11 @@
             String next = request("a2", "lookup", "5.0").repeat(9).substring(0, behind);
             client.getOutputStream().write((request("a1", "lookup", "5.0") + next).getBytes(StandardCharsets.UTF_8));
             StandIn.Exchange stream = take(streams);
-            stream.stream();
+            stream.startStream();
             stream.chunk("data: one\n\n");
             assertThat(World.readUntil(client, "data: one\n\n")).contains("data: one\n\n");
             stream.chunk("data: [DONE]\n\n");
-            stream.last();
+            stream.endStream();
             assertThat(World.readUntil(client, "\r\n0\r\n\r\n")).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
         }
     }
@@ -354,7 +354,7 @@
         BlockingQueue<String> ended = World.queue();
         StandIn.Handler silent = x -> {
             waiting.add(x);
-            x.awaitEnd();
+            x.awaitClose();
             ended.add(x.headers.get("req-id"));
         };
         try (StandIn reader = new StandIn(silent);
@@ -397,7 +397,7 @@
         BlockingQueue<StandIn.Exchange> waiting = World.queue();
         try (StandIn reader = new StandIn(x -> {
             waiting.add(x);
-            x.awaitEnd();
+            x.awaitClose();
         }); World world = new World().engine("r", "prefill", reader).start(); Socket first = world.connect()) {
             first.getOutputStream().write(request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
             take(waiting);
--- a/src/test/java/maplerail/front/ToolCallTest.java
+++ b/src/test/java/maplerail/front/ToolCallTest.java
@@ -109,7 +109,7 @@
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: one\n\n");
             streams.add(x);
         });
@@ -130,7 +130,7 @@
             assertThat(client.answer().at("id").number()).isEqualTo(2);
             assertThat(client.lastText).contains("\"result\":{\"lamp\":1.50}");
             stream.chunk("data: [DONE]\n\n");
-            stream.last();
+            stream.endStream();
             assertThat(client.answer().at("id").number()).isEqualTo(1);
             assertThat(client.answered).hasValue(2);
             assertThat(tool.count("POST /tool")).isEqualTo(1);
@@ -143,7 +143,7 @@
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: one\n\n");
             streams.add(x);
         });
@@ -172,7 +172,7 @@
             effects.incrementAndGet();
             x.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"jsonrpc\"");
             calls.add(x);
-            x.awaitEnd();
+            x.awaitClose();
             ended.add("ended");
         }); World world = world(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
@@ -237,7 +237,7 @@
 
     @Test
     void aCallIsAnsweredByItsDeadline() throws Exception {
-        try (StandIn tool = new StandIn(StandIn.Exchange::awaitEnd);
+        try (StandIn tool = new StandIn(StandIn.Exchange::awaitClose);
                 World world = new World().start(tools(servers(tool), "200", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
@@ -292,7 +292,7 @@
             assertThat(duplicate.at("error").at("data").at("duplicateId").number()).isEqualTo(1);
             client.say("{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":1}}");
             assertThat(client.answer().at("error").at("code").number()).isEqualTo(-32003);
-            call.awaitEnd();
+            call.awaitClose();
             await("nothing remembered", () -> world.gateway.trackedRequests() == 0);
             assertThat(tool.count("POST")).isEqualTo(1);
         }
--- a/src/test/java/maplerail/net/ConnectionPoolTest.java
+++ b/src/test/java/maplerail/net/ConnectionPoolTest.java
@@ -106,7 +106,7 @@
             }
             int before = server.connections();
             assertThat(post(pool(100), server.socketAddress())).isEqualTo("end");
-            await("the new connection retired", () -> server.connections() == before + 1 && server.ended() == 1);
+            await("the new connection retired", () -> server.connections() == before + 1 && server.closedConnections() == 1);
         }
     }
 
@@ -121,7 +121,7 @@
             while (post(pool, server.socketAddress()).equals("end")) posts++;
             assertThat(posts).isGreaterThan(1);
             assertThat(server.count("POST")).isEqualTo(posts);
-            assertThat(server.ended()).isLessThanOrEqualTo(1);
+            assertThat(server.closedConnections()).isLessThanOrEqualTo(1);
         }
     }
 
@@ -156,7 +156,7 @@
             for (int i = 1; i <= 3; i++) {
                 assertThat(post(pool, server.socketAddress())).isEqualTo("end");
                 int seen = i;
-                await("the connection given up", () -> server.ended() == seen);
+                await("the connection given up", () -> server.closedConnections() == seen);
             }
         }
     }
@@ -173,7 +173,7 @@
                         new Heard(heard)));
                 take(waiting);
             }
-            await("the idle one made room", () -> other.ended() == 1);
+            await("the idle one made room", () -> other.closedConnections() == 1);
             assertThat(post(pool, other.socketAddress())).isEqualTo("never sent");
         }
     }
@@ -241,7 +241,7 @@
     void anAnswerWhoseHeadDoesNotEndIsGivenUpWithinTheTimeForAPiece() throws Exception {
         try (StandIn server = new StandIn(x -> {
             x.write("HTTP/1.1 202 Accepted\r\nContent-");
-            x.awaitEnd();
+            x.awaitClose();
         })) {
             double startMs = loop.nowMs();
             assertThat(post(pool(30_000), server.socketAddress())).isEqualTo("may have run");
--- a/src/test/java/maplerail/net/EngineClientTest.java
+++ b/src/test/java/maplerail/net/EngineClientTest.java
@@ -90,7 +90,7 @@
                 releasedMs.add(loop.nowMs());
                 exchange.reply(204, "");
             } else {
-                exchange.awaitEnd(); // as on a connection on which nothing passes any more
+                exchange.awaitClose(); // as on a connection on which nothing passes any more
             }
         })) {
             EngineClient client = client(engine, 4);
@@ -111,7 +111,7 @@
     @Test
     void aReleaseThatIsNeverAnsweredIsGivenUpAtItsTime() throws Exception {
         BlockingQueue<EngineTransport.ReleaseResult> results = World.queue();
-        try (StandIn engine = new StandIn(StandIn.Exchange::awaitEnd)) {
+        try (StandIn engine = new StandIn(StandIn.Exchange::awaitClose)) {
             EngineClient client = client(engine, 4);
             double startMs = loop.nowMs();
             loop.execute(() -> client.release(ENGINE, "a", startMs + 400, results::add));
--- a/src/test/java/maplerail/net/SlowAnswerTest.java
+++ b/src/test/java/maplerail/net/SlowAnswerTest.java
@@ -80,7 +80,7 @@
     @ParameterizedTest
     @ValueSource(ints = {300, 1_200})
     void aReadersAnswerThatComesAByteAtATimeIsWhole(int spanMs) throws Exception {
-        try (StandIn reader = new StandIn(x -> x.drip(READ, spanMs))) {
+        try (StandIn reader = new StandIn(x -> x.writeSlowly(READ, spanMs))) {
             assertThat(call(reader)).isEqualTo("202 {}end");
         }
     }
@@ -89,7 +89,7 @@
     @ValueSource(ints = {300, 1_200})
     void aStreamWhoseHeadComesAByteAtATimeIsWhole(int spanMs) throws Exception {
         try (StandIn writer = new StandIn(x -> {
-            x.drip(STREAM, spanMs);
+            x.writeSlowly(STREAM, spanMs);
             x.write(CHUNK + END);
         })) {
             assertThat(call(writer)).isEqualTo("200 " + EVENT + "end");
@@ -101,7 +101,7 @@
     void aChunkThatComesAByteAtATimeIsWhole(int spanMs) throws Exception {
         try (StandIn writer = new StandIn(x -> {
             x.write(STREAM);
-            x.drip(CHUNK, spanMs);
+            x.writeSlowly(CHUNK, spanMs);
             x.write(END);
         })) {
             assertThat(call(writer)).isEqualTo("200 " + EVENT + "end");
@@ -144,7 +144,7 @@
     void aHeadThatFallsSilentIsBrokenInTimeForARelease(String begun) throws Exception {
         try (StandIn reader = new StandIn(x -> {
             x.write(begun);
-            x.awaitEnd();
+            x.awaitClose();
         })) {
             double startMs = loop.nowMs();
             assertThat(call(reader)).isEqualTo("BROKEN");
@@ -159,7 +159,7 @@
         try (StandIn reader = new StandIn(x -> {
             String line = "X-Noise: " + "n".repeat(245) + "\r\n";
             x.write("HTTP/1.1 202 Accepted\r\n");
-            while (!x.isEnded()) {
+            while (!x.isClosedByPeer()) {
                 x.write(line);
                 sent.addAndGet(line.length());
                 TimeUnit.MILLISECONDS.sleep(10);
--- a/src/test/java/maplerail/soak/DiscoveryAgent.java
+++ b/src/test/java/maplerail/soak/DiscoveryAgent.java
@@ -67,7 +67,7 @@
             return;
         }
         if (silent) {
-            exchange.awaitEnd();
+            exchange.awaitClose();
             return;
         }
         List<Map.Entry<String, EngineDirectory.Entry>> sent = new ArrayList<>();
--- a/src/test/java/maplerail/soak/EngineStandIn.java
+++ b/src/test/java/maplerail/soak/EngineStandIn.java
@@ -96,7 +96,7 @@
 
     private void handle(Exchange exchange) throws Exception {
         // A request whose connection was closed while the engine was stopped needs no answer.
-        if (waitedWhileStopped() && exchange.isEnded()) return;
+        if (waitedWhileStopped() && exchange.isClosedByPeer()) return;
         if (exchange.method.equals("DELETE")) {
             String[] parts = exchange.target.split("/");
             ledger.stateReleased(parts[parts.length - 1]);
@@ -114,7 +114,7 @@
         countArrival();
         switch (behaviour) {
             case HANGS -> {
-                exchange.awaitEnd();
+                exchange.awaitClose();
                 return;
             }
             case FAILS -> {
@@ -173,7 +173,7 @@
             return;
         }
         Thread.sleep((long) slowdown * jitter(settings.firstTokenMs));
-        exchange.stream();
+        exchange.startStream();
         for (int i = 0; i < EVENT_COUNT && ownIncarnation == incarnation; i++) {
             String event = String.format(Locale.ROOT, "data: {\"at\":\"%s\",\"n\":%d}\n\n", host, i);
             ledger.streamed(attempt, event, false);
@@ -184,7 +184,7 @@
         String done = "data: [DONE]\n\n";
         ledger.streamed(attempt, done, false);
         exchange.chunk(done);
-        exchange.last();
+        exchange.endStream();
         ledger.streamed(attempt, "", true);
         ledger.attemptEnded(attempt, "whole stream", false);
     }
--- a/src/test/java/maplerail/support/GatewayProgram.java
+++ b/src/test/java/maplerail/support/GatewayProgram.java
@@ -64,12 +64,12 @@
     /** Waits until the program is ready, and returns its port. */
     public int readyPort() throws InterruptedException {
         await("listening", () -> port() > 0);
-        await("ready", () -> say("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").startsWith("HTTP/1.1 200"));
+        await("ready", () -> exchange("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").startsWith("HTTP/1.1 200"));
         return port();
     }
 
     /** Sends a request on a new connection and returns everything read until that ends; empty if it cannot connect. */
-    public String say(String request) {
+    public String exchange(String request) {
         try (Socket socket = new Socket("127.0.0.1", port())) {
             socket.getOutputStream().write(request.replaceFirst("\r\n", "\r\nConnection: close\r\n")
                     .getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/maplerail/support/HeldTimes.java
+++ b/src/test/java/maplerail/support/HeldTimes.java
@@ -63,7 +63,7 @@
     }
 
     /** Records that an attempt is in flight now, which stops the clock of the state of its request. */
-    public synchronized void out(String id) {
+    public synchronized void attemptInFlight(String id) {
         state(id).end(false);
     }
 
@@ -103,8 +103,8 @@
         return state.isHeld() ? clockMs.getAsDouble() - state.sinceMs > OBSERVATION_LIMIT_MS : state.finished;
     }
 
-    /** Waits until a state is released or fetched, and checks that it was never held for {@link #LIMIT_MS} or longer. */
-    public void assertLetGoInTime(String id) throws InterruptedException {
+    /** Waits until a state is released or fetched, and checks that it was held for less than {@link #LIMIT_MS} each time. */
+    public void assertReleasedInTime(String id) throws InterruptedException {
         World.await(id + " is released, or held for far too long", () -> isFinishedOrOverdue(id));
         synchronized (this) {
             State state = state(id);
--- a/src/test/java/maplerail/support/HeldTimesTest.java
+++ b/src/test/java/maplerail/support/HeldTimesTest.java
@@ -15,14 +15,14 @@
 
     @BeforeEach
     void startWithReadThenWrite() {
-        times.out(ID);
+        times.attemptInFlight(ID);
         times.held(ID);
-        times.out(ID);
+        times.attemptInFlight(ID);
     }
 
     private void assertReportedAsStillHeld() {
         nowMs += LONG_MS;
-        assertThatThrownBy(() -> times.assertLetGoInTime(ID)).isInstanceOf(AssertionError.class)
+        assertThatThrownBy(() -> times.assertReleasedInTime(ID)).isInstanceOf(AssertionError.class)
                 .hasMessageContaining("still held now");
     }
 
@@ -37,10 +37,10 @@
     void aDeclineOfAWriteThatArrivedAfterTheReleaseLeavesNothingHeld() throws InterruptedException {
         times.declined(ID);
         times.released(ID);
-        times.out(ID);
+        times.attemptInFlight(ID);
         times.declined(ID);
         nowMs += LONG_MS;
-        times.assertLetGoInTime(ID);
+        times.assertReleasedInTime(ID);
     }
 
     @Test
@@ -54,7 +54,7 @@
     void aStateThatIsReadAgainAfterTheReleaseIsHeld() {
         times.declined(ID);
         times.released(ID);
-        times.out(ID);
+        times.attemptInFlight(ID);
         times.held(ID);
         assertReportedAsStillHeld();
     }
@@ -64,7 +64,7 @@
         times.declined(ID);
         nowMs += HeldTimes.LIMIT_MS;
         times.released(ID);
-        assertThatThrownBy(() -> times.assertLetGoInTime(ID)).isInstanceOf(AssertionError.class)
+        assertThatThrownBy(() -> times.assertReleasedInTime(ID)).isInstanceOf(AssertionError.class)
                 .hasMessageContaining("no longer held");
     }
 }
--- a/src/test/java/maplerail/support/SilentReader.java
+++ b/src/test/java/maplerail/support/SilentReader.java
@@ -19,11 +19,11 @@
     private final CountDownLatch closed = new CountDownLatch(1);
 
     /** Handles a read at the reader. */
-    public interface Reading {
+    public interface ReadHandler {
         void handle(SilentReader reader, StandIn.Exchange read) throws Exception;
     }
 
-    public SilentReader(Reading reading) throws IOException {
+    public SilentReader(ReadHandler handler) throws IOException {
         server = new StandIn(exchange -> {
             connections.add(exchange.connection());
             if (silent.contains(exchange.connection())) {
@@ -32,8 +32,8 @@
                 times.released(id(exchange));
                 exchange.reply(204, "");
             } else {
-                times.out(id(exchange));
-                reading.handle(this, exchange);
+                times.attemptInFlight(id(exchange));
+                handler.handle(this, exchange);
             }
         });
     }
@@ -56,7 +56,7 @@
      * @param readMs the duration of the read
      * @param answerStart the bytes of the answer that reach the gateway; may be empty
      */
-    public void lose(StandIn.Exchange read, int readMs, String answerStart) throws Exception {
+    public void loseAnswer(StandIn.Exchange read, int readMs, String answerStart) throws Exception {
         silent.add(read.connection());
         lost.add(id(read));
         TimeUnit.MILLISECONDS.sleep(readMs);
@@ -71,7 +71,7 @@
     }
 
     /** True once a read of this request has arrived whose answer is lost. */
-    public boolean lost(String id) {
+    public boolean isAnswerLost(String id) {
         return lost.contains(id);
     }
 
--- a/src/test/java/maplerail/support/StandIn.java
+++ b/src/test/java/maplerail/support/StandIn.java
@@ -115,7 +115,7 @@
         return connections.get();
     }
 
-    public int ended() {
+    public int closedConnections() {
         return ended.get();
     }
 
@@ -163,7 +163,7 @@
         }
 
         /** Writes a text one character at a time, evenly spread over a time span: slow, but never silent for long. */
-        public void drip(String text, int spanMs) throws IOException, InterruptedException {
+        public void writeSlowly(String text, int spanMs) throws IOException, InterruptedException {
             double startMs = System.nanoTime() / 1e6;
             for (int i = 0; i < text.length(); i++) {
                 double dueMs = startMs + (double) spanMs * i / text.length();
@@ -179,7 +179,7 @@
                     + text);
         }
 
-        public void stream() throws IOException {
+        public void startStream() throws IOException {
             write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
 
@@ -187,7 +187,7 @@
             write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
         }
 
-        public void last() throws IOException {
+        public void endStream() throws IOException {
             write("0\r\n\r\n");
         }
 
@@ -198,7 +198,7 @@
         }
 
         /** True if the peer has closed the connection by now. */
-        public boolean isEnded() throws IOException {
+        public boolean isClosedByPeer() throws IOException {
             int timeout = socket.getSoTimeout();
             try {
                 socket.setSoTimeout(1);
@@ -213,7 +213,7 @@
         }
 
         /** Waits until the peer has closed the connection. */
-        public void awaitEnd() {
+        public void awaitClose() {
             try {
                 while (socket.getInputStream().read() >= 0) {
                     continue;
--- a/src/test/java/maplerail/support/StoppableEngine.java
+++ b/src/test/java/maplerail/support/StoppableEngine.java
@@ -37,7 +37,7 @@
     }
 
     /** Resumes the engine. */
-    public void goOn() {
+    public void resume() {
         setStopped(false);
     }
 
--- a/src/test/java/maplerail/support/World.java
+++ b/src/test/java/maplerail/support/World.java
@@ -46,7 +46,7 @@
         });
     }
 
-    public World discoveredBy(StandIn other) {
+    public World withDiscovery(StandIn other) {
         discovery = other;
         return this;
     }
@@ -97,24 +97,24 @@
     }
 
     public World start(String tools) throws Exception {
-        begin(tools);
+        startWithoutWaiting(tools);
         await("ready", () -> gateway.phase() == Phase.READY);
         return this;
     }
 
     /** Starts the gateway without waiting until it is ready. */
-    public World begin() throws Exception {
-        return begin(null);
+    public World startWithoutWaiting() throws Exception {
+        return startWithoutWaiting(null);
     }
 
-    private World begin(String tools) throws Exception {
+    private World startWithoutWaiting(String tools) throws Exception {
         gateway = new Gateway(NodeConfig.read(config("127.0.0.1:0"), Map.of()),
                 tools == null ? null : ToolsConfig.read(tools));
         gateway.start();
         return this;
     }
 
-    /** Waits for a condition, for at least 20 s: the limit only ends a test that would otherwise never end. */
+    /** Waits until a condition is true; the limit of over 20 s only ends a test that would otherwise never end. */
     public static void await(String what, BooleanSupplier condition) throws InterruptedException {
         for (int i = 0; !condition.getAsBoolean(); i++) {
             if (i > 4_000) throw new AssertionError("timed out waiting for: " + what);
@@ -123,7 +123,7 @@
     }
 
     /** Waits for at least the given time, as a slow client would or until a signal has taken effect. */
-    public static void pass(double forMs) throws InterruptedException {
+    public static void pause(double forMs) throws InterruptedException {
         double startNanos = System.nanoTime();
         await("the given time has passed", () -> (System.nanoTime() - startNanos) / 1e6 >= forMs);
     }
@@ -153,10 +153,10 @@
                 x.reply(204, "");
                 return;
             }
-            x.stream();
+            x.startStream();
             x.chunk("data: {\"a\":1}\n\n");
             x.chunk("data: [DONE]\n\n");
-            x.last();
+            x.endStream();
         });
     }
 
