--- a/src/test/java/maplerail/cli/ConfigurationReloaderTest.java
+++ b/src/test/java/maplerail/cli/ConfigurationReloaderTest.java
@@ -1,6 +1,6 @@
 package maplerail.cli;
 
-import static maplerail.support.World.await;
+import static maplerail.support.GatewayFixture.await;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
--- a/src/test/java/maplerail/cli/DeclinedWriteIT.java
+++ b/src/test/java/maplerail/cli/DeclinedWriteIT.java
@@ -9,7 +9,7 @@
 import maplerail.support.GatewayProgram;
 import maplerail.support.SilentReader;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -50,11 +50,11 @@
     private void assertLetGoInTime(String begin, String more, String kind) throws Exception {
         try (SilentReader reader = new SilentReader(SilentReader::answer);
                 StandIn writer = writer(reader, begin.replace("|", "\r\n"), more);
-                World world = new World().engine("r", "prefill", reader.address(), "in_service").engine("w", "decode",
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader.address(), "in_service").engine("w", "decode",
                         writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
-            CompletableFuture.runAsync(() -> gateway.exchange(World.request("a1", kind, LONG_S)));
+            CompletableFuture.runAsync(() -> gateway.exchange(GatewayFixture.request("a1", kind, LONG_S)));
             reader.times.assertReleasedInTime("a1");
         }
     }
--- a/src/test/java/maplerail/cli/DrainTest.java
+++ b/src/test/java/maplerail/cli/DrainTest.java
@@ -1,8 +1,8 @@
 package maplerail.cli;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.request;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.request;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.Socket;
@@ -12,7 +12,7 @@
 import maplerail.core.Lifecycle.Phase;
 import maplerail.support.StandIn;
 import maplerail.support.StoppableEngine;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 
 class DrainTest {
@@ -22,13 +22,13 @@
 
     @Test
     void whatWasTakenIsFinishedAndWhatStillArrivesIsServed() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
             x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
         });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket before = world.connect();
                 Socket after = world.connect()) {
             send(before, request("a1", "lookup", "5.0"));
@@ -41,8 +41,8 @@
                 stream.endStream();
             }
             world.gateway.join();
-            assertThat(World.readAll(before.getInputStream())).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
-            assertThat(World.readAll(after.getInputStream())).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
+            assertThat(GatewayFixture.readAll(before.getInputStream())).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
+            assertThat(GatewayFixture.readAll(after.getInputStream())).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
             assertThat(world.gateway.phase()).isEqualTo(Phase.STOPPED);
         }
     }
@@ -50,13 +50,13 @@
     /** A connection that a long stream keeps open brings requests for as long as it is there. */
     @Test
     void whatArrivesAfterTheTimeToArriveIsRefusedAndNotSentOn() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
             x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
         });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = world.connect()) {
             send(client, request("a1", "lookup", "5.0"));
             StandIn.Exchange first = take(streams);
@@ -65,7 +65,7 @@
             send(client, request("a2", "lookup", "5.0"));
             first.chunk("data: [DONE]\n\n");
             first.endStream();
-            assertThat(World.readAll(client.getInputStream())).contains("[DONE]", "\r\n0\r\n\r\nHTTP/1.1 503");
+            assertThat(GatewayFixture.readAll(client.getInputStream())).contains("[DONE]", "\r\n0\r\n\r\nHTTP/1.1 503");
             world.gateway.join();
             assertThat(reader.count("POST")).isEqualTo(1);
         }
@@ -74,13 +74,13 @@
     /** The close over the bytes that nobody reads any more would reset the connection. */
     @Test
     void anAnswerIsWholeThoughItsClientHasSentMore() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
         String event = "data: " + "x".repeat(1_000) + "\n\n";
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
             x.startStream();
             streams.add(x);
         });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = world.connect()) {
             world.gateway.drain();
             await("draining", () -> world.gateway.phase() == Phase.DRAINING);
@@ -89,7 +89,7 @@
             send(client, request("a2", "lookup", "60") + request("a3", "lookup", "60").substring(0, 40));
             for (int i = 0; i < 100; i++) stream.chunk(event);
             stream.endStream();
-            String answer = World.readAll(client.getInputStream());
+            String answer = GatewayFixture.readAll(client.getInputStream());
             assertThat(answer.split("data: x", -1)).hasSize(101);
             assertThat(answer).contains("\r\n0\r\n\r\n").doesNotContain("<reset>");
         }
@@ -97,12 +97,12 @@
 
     @Test
     void connectionsThatEndedInMidRequestDoNotHoldUpTheExit() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
             x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
-        }); World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+        }); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             Socket leaver = world.connect();
             send(leaver, request("a1", "lookup", "5.0"));
             take(streams);
@@ -110,7 +110,7 @@
             Socket broken = world.connect();
             send(broken, request("a2", "lookup", "5.0"));
             take(streams).reset();
-            assertThat(World.readAll(broken.getInputStream())).doesNotContain("\r\n0\r\n");
+            assertThat(GatewayFixture.readAll(broken.getInputStream())).doesNotContain("\r\n0\r\n");
             world.gateway.drain();
             Thread joining = new Thread(() -> {
                 try {
@@ -135,14 +135,14 @@
             exchange.reply(exchange.method.equals("DELETE") ? 204 : 202, "");
         });
                 StoppableEngine writer = new StoppableEngine(StandIn.Exchange::awaitClose);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer.address(),
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer.address(),
                         "in_service").start();
                 Socket client = world.connect()) {
             writer.stop();
             send(client, request("a1", "repair-order", "1.0"));
             await("the state is let go", () -> reader.count("DELETE") > 0);
             world.gateway.drain();
-            assertThat(World.readAll(client.getInputStream())).startsWith("HTTP/1.1 5");
+            assertThat(GatewayFixture.readAll(client.getInputStream())).startsWith("HTTP/1.1 5");
             long answeredNanos = System.nanoTime();
             await("several looks", () -> System.nanoTime() - answeredNanos > 200_000_000L);
             assertThat(world.gateway.phase()).isNotEqualTo(Phase.STOPPED);
--- a/src/test/java/maplerail/cli/FinalAnswerIT.java
+++ b/src/test/java/maplerail/cli/FinalAnswerIT.java
@@ -14,7 +14,7 @@
 import maplerail.support.FullBacklog;
 import maplerail.support.GatewayProgram;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -100,9 +100,9 @@
     private static Seen ask(int port, String id, String kind, double budgetS) {
         try (Socket client = new Socket("127.0.0.1", port)) {
             double sentMs = nowMs();
-            client.getOutputStream().write(World.request(id, kind, String.valueOf(budgetS))
+            client.getOutputStream().write(GatewayFixture.request(id, kind, String.valueOf(budgetS))
                     .replaceFirst("\r\n", "\r\nConnection: close\r\n").getBytes(StandardCharsets.UTF_8));
-            String answer = World.readAll(client.getInputStream());
+            String answer = GatewayFixture.readAll(client.getInputStream());
             return new Seen(answer.lines().findFirst().orElse("none"), nowMs() - sentMs - 1_000 * budgetS);
         } catch (IOException e) {
             return new Seen(e.toString(), Double.NaN);
@@ -142,7 +142,7 @@
     private void assertAnsweredInTime(StandIn.Handler reader, StandIn.Handler writer) throws Exception {
         try (StandIn reads = engine(reader);
                 StandIn writes = engine(writer);
-                World world = new World().engine("r", "prefill", reads).engine("w", "decode", writes);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             assertInTime(askAll(gateway.readyPort()), gateway);
         }
@@ -169,7 +169,7 @@
     void aRequestWhoseWriterTakesNoConnectionGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
                 FullBacklog writer = new FullBacklog();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer.address(),
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer.address(),
                         "in_service");
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             assertInTime(askAll(gateway.readyPort()), gateway);
@@ -179,8 +179,8 @@
     @Test
     void aRequestThatHasNoWriterGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer, "terminating");
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer, "terminating");
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             assertInTime(askAll(gateway.readyPort()), gateway);
         }
@@ -191,12 +191,12 @@
     void aRequestThatCameWhileTheProcessStoodStillGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
                 StandIn writer = engine(NONE::give);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             int port = gateway.readyPort();
             gateway.signal("STOP");
             Map<String, CompletableFuture<Seen>> asked = askAll(port);
-            World.pause(STOPPED_FOR_MS);
+            GatewayFixture.pause(STOPPED_FOR_MS);
             gateway.signal("CONT");
             assertInTime(asked, gateway);
         }
--- a/src/test/java/maplerail/cli/HeldStateIT.java
+++ b/src/test/java/maplerail/cli/HeldStateIT.java
@@ -9,7 +9,7 @@
 import maplerail.support.HeldTimes;
 import maplerail.support.StandIn;
 import maplerail.support.StoppableEngine;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -51,8 +51,8 @@
         });
     }
 
-    private static World world(StandIn reader, String... writers) throws Exception {
-        World world = new World().engine("r", "prefill", reader);
+    private static GatewayFixture world(StandIn reader, String... writers) throws Exception {
+        GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader);
         for (int i = 0; i < writers.length; i++) world.engine("w" + i, "decode", writers[i], "in_service");
         return world;
     }
@@ -62,11 +62,11 @@
     void aStateIsLetGoInTimeThoughANewConnectionToItsStoppedWriterCameUp() throws Exception {
         try (StandIn reader = reader();
                 StoppableEngine writer = writer(0);
-                World world = world(reader, writer.address());
+                GatewayFixture world = world(reader, writer.address());
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
             writer.stop();
-            gateway.exchange(World.request("a1", "repair-order", "1.5"));
+            gateway.exchange(GatewayFixture.request("a1", "repair-order", "1.5"));
             times.assertReleasedInTime("a1");
         }
     }
@@ -76,14 +76,14 @@
     void aStateIsLetGoInTimeThoughWritersUsuallyTakeLong() throws Exception {
         try (StandIn reader = reader();
                 StoppableEngine writer = writer(300);
-                World world = world(reader, writer.address());
+                GatewayFixture world = world(reader, writer.address());
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
             for (int i = 0; i < WARM_REQUESTS; i++) {
-                assertThat(gateway.exchange(World.request("warm" + i, "repair-order", "5.0"))).contains("[DONE]");
+                assertThat(gateway.exchange(GatewayFixture.request("warm" + i, "repair-order", "5.0"))).contains("[DONE]");
             }
             writer.stop();
-            gateway.exchange(World.request("a1", "repair-order", "1.5"));
+            gateway.exchange(GatewayFixture.request("a1", "repair-order", "1.5"));
             times.assertReleasedInTime("a1");
         }
     }
@@ -95,12 +95,12 @@
                 FullBacklog outOfReach = new FullBacklog();
                 StoppableEngine one = writer(0);
                 StoppableEngine other = writer(0);
-                World world = world(reader, outOfReach.address(), one.address(), other.address());
+                GatewayFixture world = world(reader, outOfReach.address(), one.address(), other.address());
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
             one.stop();
             other.stop();
-            for (int i = 0; i < WARM_REQUESTS; i++) gateway.exchange(World.request("a" + i, "lookup", "2.0"));
+            for (int i = 0; i < WARM_REQUESTS; i++) gateway.exchange(GatewayFixture.request("a" + i, "lookup", "2.0"));
             for (int i = 0; i < WARM_REQUESTS; i++) times.assertReleasedInTime("a" + i);
         }
     }
--- a/src/test/java/maplerail/cli/JarIT.java
+++ b/src/test/java/maplerail/cli/JarIT.java
@@ -1,6 +1,6 @@
 package maplerail.cli;
 
-import static maplerail.support.World.await;
+import static maplerail.support.GatewayFixture.await;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.InputStream;
@@ -13,7 +13,7 @@
 import java.util.concurrent.BlockingQueue;
 import maplerail.support.GatewayProgram;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -35,7 +35,7 @@
         return program.log();
     }
 
-    private Process startWithFewDescriptors(World world) throws Exception {
+    private Process startWithFewDescriptors(GatewayFixture world) throws Exception {
         Path config = folder.resolve("config.json");
         Files.writeString(config, world.config("127.0.0.1:0"));
         return start("ulimit -n " + FEW_DESCRIPTORS + "; " + GatewayProgram.command("run"), config.toString());
@@ -43,12 +43,12 @@
 
     @Test
     void theProgramServesAndFinishesWhatItTookAfterTheSignal() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
             x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
-        }); World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)) {
+        }); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)) {
             Path config = folder.resolve("config.json");
             Files.writeString(config, world.config("127.0.0.1:0"));
             long startNanos = System.nanoTime();
@@ -58,15 +58,15 @@
                 assertThat(System.nanoTime() - startNanos).as("until a restarted one is back")
                         .isLessThan(10_000_000_000L);
                 try (Socket client = new Socket("127.0.0.1", port)) {
-                    client.getOutputStream().write(World.request("a1", "lookup", "5.0")
+                    client.getOutputStream().write(GatewayFixture.request("a1", "lookup", "5.0")
                             .getBytes(StandardCharsets.UTF_8));
-                    StandIn.Exchange stream = World.take(streams);
+                    StandIn.Exchange stream = GatewayFixture.take(streams);
                     gateway.destroy(); // SIGTERM
                     await("draining", () -> program.exchange("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").contains(" 503 "));
                     stream.chunk("data: [DONE]\n\n");
                     stream.endStream();
                     InputStream in = client.getInputStream();
-                    assertThat(World.readAll(in)).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
+                    assertThat(GatewayFixture.readAll(in)).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
                 }
                 await("ended", () -> !gateway.isAlive());
             } finally {
@@ -78,17 +78,17 @@
     /** The machine's own way with SIGHUP would end the program. */
     @Test
     void aHangupMovesTheWatchAndKeepsWhatIsOpen() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
         StandIn.Handler begin = x -> {
             x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(begin);
                 StandIn other = new StandIn(begin);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
-                World next = new World().engine("r", "prefill", reader).engine("w2", "decode", other)) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture next = new GatewayFixture().engine("r", "prefill", reader).engine("w2", "decode", other)) {
             Path config = folder.resolve("config.json");
             Files.writeString(config, world.config("127.0.0.1:0"));
             Process gateway = start(
@@ -98,8 +98,8 @@
                 await("listening", () -> program.port() > 0);
                 try (Socket client = new Socket("127.0.0.1", program.port())) {
                     client.getOutputStream()
-                            .write(World.request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
-                    StandIn.Exchange stream = World.take(streams);
+                            .write(GatewayFixture.request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
+                    StandIn.Exchange stream = GatewayFixture.take(streams);
                     for (String text : List.of("{", "{\"settings\":{}}", next.config("127.0.0.1:0"))) {
                         Files.writeString(config, text);
                         assertThat(new ProcessBuilder("kill", "-HUP", "" + gateway.pid()).start().waitFor()).isZero();
@@ -111,12 +111,12 @@
                     stream.chunk("data: [DONE]\n\n");
                     stream.endStream();
                     client.getOutputStream()
-                            .write(World.request("a2", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
+                            .write(GatewayFixture.request("a2", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
                     await("the new list holds", () -> other.count("POST") == 1);
                     gateway.destroy();
-                    stream = World.take(streams);
+                    stream = GatewayFixture.take(streams);
                     stream.endStream();
-                    assertThat(World.readAll(client.getInputStream())).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
+                    assertThat(GatewayFixture.readAll(client.getInputStream())).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
                 }
                 await("ended", () -> !gateway.isAlive());
             } finally {
@@ -128,10 +128,10 @@
     /** A read that fails or is half done for a moment must not leave a gateway at a discovery that is gone. */
     @Test
     void aConfigurationThatCannotBeReadAtTheSignalIsReadAgain() throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
-                World next = new World().engine("r", "prefill", reader).engine("w", "decode", writer)) {
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture next = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)) {
             Path config = folder.resolve("config.json");
             Files.writeString(config, world.config("127.0.0.1:0"));
             Process gateway = start(GatewayProgram.command("run"), config.toString());
@@ -152,9 +152,9 @@
     /** What waits in the backlog has been accepted by this machine: it must not wait for seconds once there is room. */
     @Test
     void aGatewayThatRanOutOfDescriptorsAcceptsAgainAsSoonAsItHasSome() throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)) {
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)) {
             Process gateway = startWithFewDescriptors(world);
             List<Socket> silent = new ArrayList<>();
             try {
@@ -164,7 +164,7 @@
                 assertThat(silent.get(0).getInputStream().read()).isNegative();
                 for (Socket socket : silent) socket.close();
                 long freeNanos = System.nanoTime();
-                assertThat(program.exchange(World.request("a1", "lookup", "5.0"))).contains("[DONE]");
+                assertThat(program.exchange(GatewayFixture.request("a1", "lookup", "5.0"))).contains("[DONE]");
                 assertThat(System.nanoTime() - freeNanos).as("until a client is served").isLessThan(1_000_000_000L);
             } finally {
                 gateway.destroyForcibly();
@@ -176,24 +176,24 @@
     /** Its client's clock ran while accept failed: engines are told what is left of its time. */
     @Test
     void aRequestThatWaitedForAcceptIsPassedOnWithWhatIsLeftOfItsTime() throws Exception {
-        BlockingQueue<Double> left = World.queue();
+        BlockingQueue<Double> left = GatewayFixture.queue();
         try (StandIn reader = new StandIn(x -> {
             if (x.method.equals("POST")) left.add(Double.parseDouble(x.headers.get("req-deadline")));
             x.reply(202, "{\"cached_tokens\":0}");
         });
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)) {
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)) {
             Process gateway = startWithFewDescriptors(world);
             List<Socket> silent = new ArrayList<>();
             try {
                 int port = program.readyPort();
                 for (int i = 0; i < FEW_DESCRIPTORS; i++) silent.add(new Socket("127.0.0.1", port));
                 long sentNanos = System.nanoTime();
-                assertThat(program.exchange(World.request("a1", "lookup", "9.0"))).contains("[DONE]");
+                assertThat(program.exchange(GatewayFixture.request("a1", "lookup", "9.0"))).contains("[DONE]");
                 double waitedAtMost = (System.nanoTime() - sentNanos) / 1e9;
                 assertThat(waitedAtMost).as("it waited in the backlog").isGreaterThan(1);
                 // Some of that time was spent after it was passed on, on a machine that may be busy.
-                assertThat(World.take(left)).isLessThan(9 - waitedAtMost + 0.15 + 0.5);
+                assertThat(GatewayFixture.take(left)).isLessThan(9 - waitedAtMost + 0.15 + 0.5);
             } finally {
                 gateway.destroyForcibly();
                 for (Socket socket : silent) socket.close();
--- a/src/test/java/maplerail/cli/LeftLongIT.java
+++ b/src/test/java/maplerail/cli/LeftLongIT.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import maplerail.support.GatewayProgram;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -35,8 +35,8 @@
             reads.release();
             exchange.awaitClose();
         });
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             int port = gateway.readyPort();
             long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_S);
@@ -50,7 +50,7 @@
     /** Asks, and leaves once the read is out; false if it did not go out. */
     private static boolean leave(int port, int number, Semaphore reads) throws InterruptedException {
         try (Socket client = new Socket("127.0.0.1", port)) {
-            String request = World.request("a" + number, "lookup", LONGEST_S);
+            String request = GatewayFixture.request("a" + number, "lookup", LONGEST_S);
             client.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
             return reads.tryAcquire(MOST_S / 8, TimeUnit.SECONDS);
         } catch (IOException e) {
--- a/src/test/java/maplerail/cli/LostReadIT.java
+++ b/src/test/java/maplerail/cli/LostReadIT.java
@@ -15,7 +15,7 @@
 import maplerail.support.GatewayProgram;
 import maplerail.support.SilentReader;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -35,20 +35,20 @@
     @TempDir
     Path folder;
 
-    private GatewayProgram gateway(World world) throws Exception {
+    private GatewayProgram gateway(GatewayFixture world) throws Exception {
         GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"));
         gateway.readyPort();
         return gateway;
     }
 
-    private static World world(StandIn writer, SilentReader... readers) throws Exception {
-        World world = new World().engine("w", "decode", writer);
+    private static GatewayFixture world(StandIn writer, SilentReader... readers) throws Exception {
+        GatewayFixture world = new GatewayFixture().engine("w", "decode", writer);
         for (int i = 0; i < readers.length; i++) world.engine("r" + i, "prefill", readers[i].address(), "in_service");
         return world;
     }
 
     private static CompletableFuture<String> ask(GatewayProgram gateway, String id, String kind) {
-        return CompletableFuture.supplyAsync(() -> gateway.exchange(World.request(id, kind, LONG_S)));
+        return CompletableFuture.supplyAsync(() -> gateway.exchange(GatewayFixture.request(id, kind, LONG_S)));
     }
 
     /** However many releases came before the state was there. */
@@ -57,8 +57,8 @@
             "600, repair-order", "1100, repair-order"})
     void aStateWhoseReadIsNeverAnsweredIsLetGoInTime(int readMs, String kind) throws Exception {
         try (SilentReader reader = new SilentReader((r, read) -> r.loseAnswer(read, readMs, ""));
-                StandIn writer = World.writer();
-                World world = world(writer, reader);
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = world(writer, reader);
                 GatewayProgram gateway = gateway(world)) {
             ask(gateway, "a1", kind);
             reader.times.assertReleasedInTime("a1");
@@ -78,8 +78,8 @@
             together.await();
             r.answer(read);
         });
-                StandIn writer = World.writer();
-                World world = world(writer, reader);
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = world(writer, reader);
                 GatewayProgram gateway = gateway(world)) {
             CompletableFuture<?>[] warm = new CompletableFuture<?>[KEPT_CONNECTIONS];
             for (int i = 0; i < warm.length; i++) warm[i] = ask(gateway, "warm" + i, "lookup");
@@ -104,7 +104,7 @@
     private void assertLetGoInTimeAfter(String heard) throws Exception {
         try (SilentReader reader = new SilentReader((r, read) -> r.loseAnswer(read, 300, heard));
                 StandIn writer = fetchingWriter(reader);
-                World world = world(writer, reader);
+                GatewayFixture world = world(writer, reader);
                 GatewayProgram gateway = gateway(world)) {
             ask(gateway, "a1", "repair-order");
             reader.times.assertReleasedInTime("a1");
@@ -134,11 +134,11 @@
             left.await();
             r.loseAnswer(read, readMs, "");
         });
-                StandIn writer = World.writer();
-                World world = world(writer, reader);
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = world(writer, reader);
                 GatewayProgram gateway = gateway(world)) {
             Socket client = new Socket("127.0.0.1", gateway.port());
-            client.getOutputStream().write(World.request("a1", "lookup", LONG_S).getBytes(StandardCharsets.UTF_8));
+            client.getOutputStream().write(GatewayFixture.request("a1", "lookup", LONG_S).getBytes(StandardCharsets.UTF_8));
             assertThat(reading.await(TEST_S, TimeUnit.SECONDS)).isTrue();
             client.close();
             left.countDown();
@@ -170,14 +170,14 @@
         };
         try (SilentReader one = new SilentReader(loseOnce);
                 SilentReader other = new SilentReader(loseOnce);
-                StandIn writer = World.writer();
-                World world = world(writer, one, other);
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = world(writer, one, other);
                 GatewayProgram gateway = gateway(world)) {
             for (int i = 0; i < WARM_REQUESTS; i++) {
                 assertThat(ask(gateway, "warm" + i, "lookup").get(TEST_S, TimeUnit.SECONDS)).contains("[DONE]");
             }
             ask(gateway, "a1", "lookup");
-            World.await("lost", () -> one.isAnswerLost("a1") || other.isAnswerLost("a1"));
+            GatewayFixture.await("lost", () -> one.isAnswerLost("a1") || other.isAnswerLost("a1"));
             (one.isAnswerLost("a1") ? one : other).times.assertReleasedInTime("a1");
         }
     }
--- a/src/test/java/maplerail/cli/MainTest.java
+++ b/src/test/java/maplerail/cli/MainTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -37,7 +37,7 @@
     }
 
     private String config() throws Exception {
-        try (StandIn engine = World.reader(); World world = new World().engine("r", "prefill", engine)) {
+        try (StandIn engine = GatewayFixture.reader(); GatewayFixture world = new GatewayFixture().engine("r", "prefill", engine)) {
             return world.config("127.0.0.1:0");
         }
     }
--- a/src/test/java/maplerail/cli/ReleaseElsewhereIT.java
+++ b/src/test/java/maplerail/cli/ReleaseElsewhereIT.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import maplerail.support.GatewayProgram;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -85,15 +85,15 @@
         try (StandIn one = reader();
                 StandIn other = reader();
                 StandIn writer = writer();
-                World world = new World().engine("r0", "prefill", one).engine("r1", "prefill", other).engine("w",
+                GatewayFixture world = new GatewayFixture().engine("r0", "prefill", one).engine("r1", "prefill", other).engine("w",
                         "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
             for (int i = 0; i < WARM_REQUESTS; i++) {
-                assertThat(gateway.exchange(World.request("warm" + i, "lookup", "5.0"))).contains("[DONE]");
+                assertThat(gateway.exchange(GatewayFixture.request("warm" + i, "lookup", "5.0"))).contains("[DONE]");
             }
             for (String id : List.of("a1", "a2", "a3")) {
-                assertThat(gateway.exchange(World.request(id, "lookup", "5.0"))).contains("[DONE]");
+                assertThat(gateway.exchange(GatewayFixture.request(id, "lookup", "5.0"))).contains("[DONE]");
             }
             assertThat(released).as("requests released while their second read was out or its state waited for")
                     .isEmpty();
--- a/src/test/java/maplerail/cli/ReleaseOutOfReachIT.java
+++ b/src/test/java/maplerail/cli/ReleaseOutOfReachIT.java
@@ -7,7 +7,7 @@
 import maplerail.support.GatewayProgram;
 import maplerail.support.HeldTimes;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -61,10 +61,10 @@
     void aStateIsLetGoInTimeThoughItsReaderIsOutOfReachOnceItsRequestIsOver(String kind) throws Exception {
         try (StandIn reader = readerOutOfReach();
                 StandIn writer = queueingWriter();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
-            CompletableFuture.runAsync(() -> gateway.exchange(World.request("a1", kind, DEADLINE_S)));
+            CompletableFuture.runAsync(() -> gateway.exchange(GatewayFixture.request("a1", kind, DEADLINE_S)));
             times.assertReleasedInTime("a1");
         }
     }
--- a/src/test/java/maplerail/cli/RequestLogIT.java
+++ b/src/test/java/maplerail/cli/RequestLogIT.java
@@ -1,7 +1,7 @@
 package maplerail.cli;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.Socket;
@@ -10,7 +10,7 @@
 import java.util.concurrent.BlockingQueue;
 import maplerail.support.GatewayProgram;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -22,21 +22,21 @@
     /** The stream's line names one request; the other one was taken too and gets no answer. */
     @Test
     void aRequestBehindABrokenStreamIsTold() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        try (StandIn reader = World.reader();
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(x -> {
                     x.startStream();
                     x.chunk("data: 1\n\n");
                     streams.add(x);
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"));
                 Socket client = new Socket("127.0.0.1", gateway.readyPort())) {
-            String both = World.request("a1", "lookup", "5.0") + World.request("a2", "lookup", "5.0");
+            String both = GatewayFixture.request("a1", "lookup", "5.0") + GatewayFixture.request("a2", "lookup", "5.0");
             client.getOutputStream().write(both.getBytes(StandardCharsets.UTF_8));
-            assertThat(World.readUntil(client, "data: 1\n\n")).startsWith("HTTP/1.1 200");
+            assertThat(GatewayFixture.readUntil(client, "data: 1\n\n")).startsWith("HTTP/1.1 200");
             take(streams).reset();
-            assertThat(World.readAll(client.getInputStream())).doesNotContain("\r\n0\r\n");
+            assertThat(GatewayFixture.readAll(client.getInputStream())).doesNotContain("\r\n0\r\n");
             await("told", () -> gateway.log().contains("request a1 kind 0 broken (RESET)"));
             assertThat(gateway.log()).contains("request a1: ends its connection, and with it requests [a2]");
         }
--- a/src/test/java/maplerail/cli/SlowEngineIT.java
+++ b/src/test/java/maplerail/cli/SlowEngineIT.java
@@ -1,6 +1,6 @@
 package maplerail.cli;
 
-import static maplerail.support.World.await;
+import static maplerail.support.GatewayFixture.await;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.Socket;
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import maplerail.support.GatewayProgram;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -43,13 +43,13 @@
         });
     }
 
-    private static String config(World world) {
+    private static String config(GatewayFixture world) {
         String config = world.config("127.0.0.1:0");
         assertThat(config).contains("\"pinLimitMs\":500.0");
         return config.replace("\"pinLimitMs\":500.0", "\"pinLimitMs\":250.0");
     }
 
-    private GatewayProgram gateway(World world) throws Exception {
+    private GatewayProgram gateway(GatewayFixture world) throws Exception {
         GatewayProgram gateway = GatewayProgram.serve(folder, config(world));
         gateway.readyPort();
         return gateway;
@@ -59,9 +59,9 @@
     private void assertServed(StandIn.Handler reader, StandIn.Handler writer) throws Exception {
         try (StandIn reads = engine(reader);
                 StandIn writes = engine(writer);
-                World world = new World().engine("r", "prefill", reads).engine("w", "decode", writes);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
                 GatewayProgram gateway = gateway(world)) {
-            String answer = gateway.exchange(World.request("a1", "repair-order", "6.0"));
+            String answer = gateway.exchange(GatewayFixture.request("a1", "repair-order", "6.0"));
             assertThat(answer).as(gateway.log()).startsWith("HTTP/1.1 200").contains("slowly").contains("[DONE]")
                     .endsWith("\r\n0\r\n\r\n");
             assertThat(writes.count("POST")).isEqualTo(1);
@@ -132,11 +132,11 @@
                     stoppedMs.set(nowMs());
                     x.awaitClose();
                 });
-                World world = new World().engine("r", "prefill", reads).engine("w", "decode", writes);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
                 GatewayProgram gateway = gateway(world);
                 Socket client = new Socket("127.0.0.1", gateway.port())) {
-            client.getOutputStream().write(World.request("a1", "repair-order", "6.0").getBytes());
-            String answer = World.readAll(client.getInputStream());
+            client.getOutputStream().write(GatewayFixture.request("a1", "repair-order", "6.0").getBytes());
+            String answer = GatewayFixture.readAll(client.getInputStream());
             assertThat(nowMs() - stoppedMs.get()).isLessThan(BROKEN_OFF_MS);
             assertThat(answer).startsWith("HTTP/1.1 200").contains("slowly").doesNotContain("\r\n0\r\n\r\n");
         }
@@ -168,9 +168,9 @@
             x.awaitClose();
         });
                 StandIn writes = engine(x -> x.reply(500, ""));
-                World world = new World().engine("r", "prefill", reads).engine("w", "decode", writes);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
                 GatewayProgram gateway = gateway(world)) {
-            assertThat(gateway.exchange(World.request("a1", "repair-order", "2.0"))).startsWith("HTTP/1.1 ");
+            assertThat(gateway.exchange(GatewayFixture.request("a1", "repair-order", "2.0"))).startsWith("HTTP/1.1 ");
             await("released", () -> reads.count("DELETE") > 0);
             for (int i = 1; i < callsMs.size(); i++) {
                 double heldMs = callsMs.get(i) - callsMs.get(i - 1);
--- a/src/test/java/maplerail/cli/ToldDeadlineIT.java
+++ b/src/test/java/maplerail/cli/ToldDeadlineIT.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import maplerail.support.GatewayProgram;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -62,16 +62,16 @@
                     exchange.chunk("data: [DONE]\n\n");
                     exchange.endStream();
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             play.at(gateway, gateway.readyPort());
-            World.await("requests passed on", () -> overMs.size() >= heardAtLeast);
+            GatewayFixture.await("requests passed on", () -> overMs.size() >= heardAtLeast);
             assertThat(overMs.values()).as("told over what was left, ms").allMatch(over -> over <= SLACK_MS);
         }
     }
 
     private String request(String id) {
-        return World.request(id, "lookup", "2.0");
+        return GatewayFixture.request(id, "lookup", "2.0");
     }
 
     private void sent(String id) {
@@ -91,9 +91,9 @@
             try (Socket client = new Socket("127.0.0.1", port)) {
                 sent("a1");
                 write(client, text.substring(0, body));
-                World.pause(PIECES_FOR_MS);
+                GatewayFixture.pause(PIECES_FOR_MS);
                 write(client, text.substring(body));
-                World.readUntil(client, "[DONE]");
+                GatewayFixture.readUntil(client, "[DONE]");
             }
         });
     }
@@ -105,15 +105,15 @@
             try (Socket client = new Socket("127.0.0.1", port)) {
                 sent("a1");
                 write(client, request("a1"));
-                World.readUntil(client, "[DONE]");
+                GatewayFixture.readUntil(client, "[DONE]");
                 String text = request("a2");
                 int piece = text.length() / 20;
                 sent("a2");
                 for (int i = 0; i < text.length(); i += piece) {
                     write(client, text.substring(i, Math.min(text.length(), i + piece)));
-                    World.pause(PIECES_FOR_MS / 20);
+                    GatewayFixture.pause(PIECES_FOR_MS / 20);
                 }
-                World.readUntil(client, "[DONE]");
+                GatewayFixture.readUntil(client, "[DONE]");
             }
         });
     }
@@ -126,17 +126,17 @@
             clients.add(new Socket("127.0.0.1", port));
             sent("warm");
             write(clients.get(0), request("warm"));
-            World.readUntil(clients.get(0), "[DONE]");
-            World.pause(RESTS_FOR_MS);
+            GatewayFixture.readUntil(clients.get(0), "[DONE]");
+            GatewayFixture.pause(RESTS_FOR_MS);
             gateway.signal("STOP");
             for (int i = 0; i < 7; i++) {
                 if (i > 0) clients.add(new Socket("127.0.0.1", port));
                 sent("s" + i);
                 write(clients.get(i), request("s" + i));
             }
-            World.pause(STOPPED_FOR_MS);
+            GatewayFixture.pause(STOPPED_FOR_MS);
             gateway.signal("CONT");
-            for (Socket client : clients) World.readUntil(client, "HTTP/1.1 ");
+            for (Socket client : clients) GatewayFixture.readUntil(client, "HTTP/1.1 ");
             for (Socket client : clients) client.close();
         });
     }
@@ -151,7 +151,7 @@
                 sent("c" + i);
                 write(clients.get(i), request("c" + i));
             }
-            for (Socket client : clients) World.readUntil(client, "HTTP/1.1 ");
+            for (Socket client : clients) GatewayFixture.readUntil(client, "HTTP/1.1 ");
             for (Socket client : clients) client.close();
         });
     }
@@ -166,7 +166,7 @@
             }
             try (Socket client = new Socket("127.0.0.1", port)) {
                 write(client, all.toString());
-                for (int i = 0; i < PIPELINED; i++) World.readUntil(client, "HTTP/1.1 ");
+                for (int i = 0; i < PIPELINED; i++) GatewayFixture.readUntil(client, "HTTP/1.1 ");
             }
         });
     }
--- a/src/test/java/maplerail/discovery/PlatformWatchTest.java
+++ b/src/test/java/maplerail/discovery/PlatformWatchTest.java
@@ -1,8 +1,8 @@
 package maplerail.discovery;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.request;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.request;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.Socket;
@@ -16,7 +16,7 @@
 import maplerail.config.NodeConfig;
 import maplerail.core.Lifecycle.Phase;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 
 class PlatformWatchTest {
@@ -24,14 +24,14 @@
     @Test
     void aWatchThatIsTurnedAwayGoesOnFromWhatWasToldAndBacksOff() throws Exception {
         List<Long> atNanos = new CopyOnWriteArrayList<>();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     atNanos.add(System.nanoTime());
                     if (atNanos.size() > 1) x.reply(503, "overloaded");
                     else x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
                         .withDiscovery(agent)) {
             world.start();
             await("asked again and again", () -> atNanos.size() >= 4);
@@ -44,8 +44,8 @@
     @Test
     void aListThatCannotBeReadChangesNothingAndIsAskedForAgain() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     switch (asked.incrementAndGet()) {
                         case 1 -> x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":");
@@ -55,7 +55,7 @@
                         default -> x.awaitClose();
                     }
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
                         .withDiscovery(agent)) {
             world.start();
             await("asked again", () -> asked.get() >= 5);
@@ -68,14 +68,14 @@
     @Test
     void aCallThatFallsSilentIsFollowedByAnotherWithinTheTimeToBeTold() throws Exception {
         List<Long> atNanos = new CopyOnWriteArrayList<>();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     atNanos.add(System.nanoTime());
                     if (atNanos.size() > 1) x.awaitClose();
                     else x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
                         .withDiscovery(agent)) {
             world.start();
             await("opened anew", () -> atNanos.size() >= 3);
@@ -91,7 +91,7 @@
             if (!x.target.equals("/api/targets")) x.awaitClose();
             x.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
             x.writeSlowly(list, 5_000);
-        }); World world = new World().withDiscovery(agent)) {
+        }); GatewayFixture world = new GatewayFixture().withDiscovery(agent)) {
             String unknown = world.config("127.0.0.1:0").replaceFirst("\"known\":\\{.*?\\]\\},", "");
             assertThat(unknown).doesNotContain("known");
             Gateway gateway = new Gateway(NodeConfig.read(unknown, Map.of()), null);
@@ -117,7 +117,7 @@
             }
             x.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             x.writeSlowly(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n0\r\n\r\n", 1_000);
-        }); World world = new World().withDiscovery(agent)) {
+        }); GatewayFixture world = new GatewayFixture().withDiscovery(agent)) {
             world.startWithoutWaiting();
             await("asked again", () -> asked.get() > 1);
             assertThat(agent.seen.get(1)).startsWith("GET /api/targets?index=7&");
@@ -133,7 +133,7 @@
             if (atNanos.size() == 1) x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
             else x.write("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"seq\":9,");
             if (atNanos.size() > 1) x.awaitClose();
-        }); World world = new World().withDiscovery(agent)) {
+        }); GatewayFixture world = new GatewayFixture().withDiscovery(agent)) {
             world.start();
             await("opened anew", () -> atNanos.size() >= 3);
             assertThat(atNanos.get(2) - atNanos.get(1)).isLessThan(4_500_000_000L);
@@ -143,9 +143,9 @@
     /** All nodes restart at once in a release, and each whole list takes an overloaded discovery's time. */
     @Test
     void aNodeGoesOnFromTheListThatItKnows() throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)) {
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)) {
             world.start();
             await("asked", () -> world.discovery().seen.size() > 0);
             assertThat(world.discovery().seen.get(0)).startsWith("GET /api/targets?index=3&");
@@ -155,15 +155,15 @@
     /** Where lists are pushed, what the agent has counts as told before the first request comes. */
     @Test
     void aNodeIsNotReadyOnAnOldListBeforeItsAgentHasSaidWhatChanged() throws Exception {
-        BlockingQueue<StandIn.Exchange> first = World.queue();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                StandIn other = World.writer();
+        BlockingQueue<StandIn.Exchange> first = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                StandIn other = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     if (x.target.endsWith("wait=0")) first.add(x);
                     else x.awaitClose();
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer)
                         .engine("w2", "decode", other).withDiscovery(agent)) {
             world.startWithoutWaiting();
             StandIn.Exchange asked = take(first);
@@ -177,7 +177,7 @@
             await("ready", () -> world.gateway.phase() == Phase.READY);
             String closing = ready.replaceFirst("\r\n", "\r\nConnection: close\r\n");
             early.getOutputStream().write(closing.getBytes(StandardCharsets.UTF_8));
-            assertThat(World.readAll(early.getInputStream())).as("who came early stays").contains("HTTP/1.1 200");
+            assertThat(GatewayFixture.readAll(early.getInputStream())).as("who came early stays").contains("HTTP/1.1 200");
             early.close();
             for (int i = 0; i < 10; i++) {
                 assertThat(world.exchange(request("a" + i, "lookup", "5.0"))).startsWith("HTTP/1.1 200");
@@ -189,15 +189,15 @@
     /** Found on the large herd day: a client reached a restarted gateway before its agent's answer did. */
     @Test
     void aRequestThatComesBeforeTheAgentHasAnsweredWaitsForTheList() throws Exception {
-        BlockingQueue<StandIn.Exchange> first = World.queue();
-        try (StandIn draining = World.reader();
-                StandIn started = World.reader();
-                StandIn writer = World.writer();
+        BlockingQueue<StandIn.Exchange> first = GatewayFixture.queue();
+        try (StandIn draining = GatewayFixture.reader();
+                StandIn started = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     if (x.target.endsWith("wait=0")) first.add(x);
                     else x.awaitClose();
                 });
-                World world = new World().engine("r1", "prefill", draining).engine("w", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r1", "prefill", draining).engine("w", "decode", writer)
                         .withDiscovery(agent)) {
             world.startWithoutWaiting();
             StandIn.Exchange asked = take(first);
@@ -207,7 +207,7 @@
                 await("taken", () -> world.gateway.trackedRequests() == 1);
                 asked.reply(200, "{\"seq\":9,\"whole\":false,\"hosts\":[" + host("r1", draining, "terminating") + ","
                         + host("r2", started, "in_service") + "]}");
-                assertThat(World.readAll(early.getInputStream())).startsWith("HTTP/1.1 200");
+                assertThat(GatewayFixture.readAll(early.getInputStream())).startsWith("HTTP/1.1 200");
             }
             assertThat(draining.count("POST")).isZero();
         }
@@ -222,16 +222,16 @@
     @Test
     void aListOlderThanOursIsNotBelievedAfterAMove() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                StandIn other = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer, "terminating")
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                StandIn other = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer, "terminating")
                         .engine("w2", "decode", other);
                 StandIn agent = new StandIn(x -> x.reply(200, asked.incrementAndGet() > 3
                         ? "{\"seq\":9,\"whole\":false,\"hosts\":[]}"
                         : "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"w1\",\"dial\":\"" + writer.address()
                                 + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"in_service\"}]}"));
-                World moved = new World().withDiscovery(agent)) {
+                GatewayFixture moved = new GatewayFixture().withDiscovery(agent)) {
             world.start();
             await("the first list heard", () -> world.discovery().count("GET /api/targets?index=") > 0);
             world.gateway.reload(NodeConfig.read(moved.config("127.0.0.1:0"), Map.of()));
--- a/src/test/java/maplerail/front/ClientListenerTest.java
+++ b/src/test/java/maplerail/front/ClientListenerTest.java
@@ -1,8 +1,8 @@
 package maplerail.front;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.request;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.request;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -20,7 +20,7 @@
 import maplerail.core.ServiceCounters;
 import maplerail.net.XnioLoop;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.xnio.ChannelListeners;
 import org.xnio.OptionMap;
@@ -42,7 +42,7 @@
     private static final double LOST_MS = 500; // past its time, from which an answer counts as none
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-    private static Socket send(World world, String text) throws Exception {
+    private static Socket send(GatewayFixture world, String text) throws Exception {
         Socket socket = world.connect();
         socket.setSoTimeout(LIMIT_MS);
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
@@ -51,14 +51,14 @@
 
     @Test
     void whoSaysNothingOrHalfARequestIsTurnedOutButNotWhoWaitsForAnAnswer() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
         String whole = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
             x.startStream();
             x.chunk("data: one\n\n");
             streams.add(x);
         });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket waiting = send(world, whole);
                 Socket silent = send(world, "");
                 Socket half = send(world, "POST / HTTP/1.1\r\nReq-");
@@ -66,11 +66,11 @@
                         whole.substring(0, whole.length() - 3))) {
             StandIn.Exchange open = take(streams);
             assertThat(silent.getInputStream().read()).isNegative();
-            assertThat(World.readAll(half.getInputStream())).startsWith("HTTP/1.1 408");
-            assertThat(World.readAll(halfBody.getInputStream())).startsWith("HTTP/1.1 408");
+            assertThat(GatewayFixture.readAll(half.getInputStream())).startsWith("HTTP/1.1 408");
+            assertThat(GatewayFixture.readAll(halfBody.getInputStream())).startsWith("HTTP/1.1 408");
             open.chunk("data: two\n\n");
             open.endStream();
-            assertThat(World.readAll(waiting.getInputStream())).contains("data: one\n\n").endsWith("\r\n0\r\n\r\n");
+            assertThat(GatewayFixture.readAll(waiting.getInputStream())).contains("data: one\n\n").endsWith("\r\n0\r\n\r\n");
             assertThat(writer.count("POST")).isEqualTo(1);
         }
     }
@@ -78,9 +78,9 @@
     /** However it came: half a request behind a whole one is owed the same end as any other. */
     @Test
     void halfARequestBehindAWholeOneIsTurnedOutAsAnyOther() throws Exception {
-        try (World world = new World().start(); Socket client = send(world, READY + "POST / HTTP/1.1\r\nReq-")) {
+        try (GatewayFixture world = new GatewayFixture().start(); Socket client = send(world, READY + "POST / HTTP/1.1\r\nReq-")) {
             long startNanos = System.nanoTime();
-            String came = World.readAll(client.getInputStream());
+            String came = GatewayFixture.readAll(client.getInputStream());
             assertThat(System.nanoTime() - startNanos).as("by TERMS").isLessThan(3_000_000_000L);
             assertThat(came).startsWith("HTTP/1.1 200").contains("HTTP/1.1 408");
         }
@@ -91,16 +91,16 @@
     void aRequestWhoseBodyKeepsComingIsServed() throws Exception {
         String whole = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
         int body = whole.indexOf("\r\n\r\n") + 4;
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = send(world, whole.substring(0, body))) {
             for (int i = body; i < whole.length(); i++) {
                 long startNanos = System.nanoTime();
                 await("some time later", () -> System.nanoTime() - startNanos > 250_000_000L);
                 client.getOutputStream().write(whole.charAt(i));
             }
-            assertThat(World.readAll(client.getInputStream())).startsWith("HTTP/1.1 200").contains("[DONE]");
+            assertThat(GatewayFixture.readAll(client.getInputStream())).startsWith("HTTP/1.1 200").contains("[DONE]");
         }
     }
 
@@ -108,7 +108,7 @@
     @Test
     void aRequestThatArrivedWhileTheLoopStoodStillIsNotClosedOver() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        BlockingQueue<String> heard = World.queue();
+        BlockingQueue<String> heard = GatewayFixture.queue();
         try {
             XnioLoop loop = new XnioLoop(worker.getIoThread());
             ClientListener listener = new ClientListener(connection -> {
@@ -152,15 +152,15 @@
     void idleClientsLeaveRoomForRequestsEnginesAndDiscovery() throws Exception {
         List<Socket> idle = new ArrayList<>();
         CountDownLatch back = new CountDownLatch(1);
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                StandIn other = World.writer();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                StandIn other = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     back.await();
                     x.reply(200, "{\"seq\":9,\"whole\":false,\"hosts\":[{\"host\":\"w1\",\"dial\":\"" + writer.address()
                             + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"terminating\"}]}");
                 });
-                World world = new World().sockets(128).engine("r", "prefill", reader).engine("w1", "decode", writer)
+                GatewayFixture world = new GatewayFixture().sockets(128).engine("r", "prefill", reader).engine("w1", "decode", writer)
                         .engine("w2", "decode", other).withDiscovery(agent).start()) {
             for (int i = 0; i < 300; i++) idle.add(world.connect());
             back.countDown();
@@ -192,7 +192,7 @@
     @Test
     void aWaitForAPlaceIsChargedToTheRequest() throws Exception {
         Map<String, Double> deadlineMs = new ConcurrentHashMap<>();
-        BlockingQueue<Double> overMs = World.queue();
+        BlockingQueue<Double> overMs = GatewayFixture.queue();
         AtomicBoolean over = new AtomicBoolean();
         try (StandIn reader = new StandIn(x -> {
             if (x.method.equals("POST")) {
@@ -201,15 +201,15 @@
             }
             x.reply(x.method.equals("POST") ? 202 : 204, "{\"cached_tokens\":0}");
         });
-                StandIn writer = World.writer();
-                World world = new World().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
                         .start()) {
             List<Thread> crowd = new ArrayList<>();
             for (int i = 0; i < HALF_CROWD; i++) crowd.add(comesAgain(world, over));
             for (int i = 0; i < WAITING; i++) {
                 deadlineMs.put("a" + i, System.nanoTime() / 1e6 + BUDGET_MS);
                 try (Socket client = send(world, request("a" + i, "lookup", "" + BUDGET_MS / 1_000))) {
-                    World.readUntil(client, "HTTP/1.1 ");
+                    GatewayFixture.readUntil(client, "HTTP/1.1 ");
                 }
             }
             over.set(true);
@@ -219,11 +219,11 @@
     }
 
     /** A client that connects, says half a request and stays until it is ended, over and over. */
-    private static Thread comesAgain(World world, AtomicBoolean over) {
+    private static Thread comesAgain(GatewayFixture world, AtomicBoolean over) {
         Thread thread = new Thread(() -> {
             while (!over.get()) {
                 try (Socket socket = send(world, "POST / HTTP/1.1\r\nReq-")) {
-                    World.readAll(socket.getInputStream());
+                    GatewayFixture.readAll(socket.getInputStream());
                 } catch (Exception e) {
                     return; // the test is over
                 }
@@ -236,14 +236,14 @@
     /** Of a request that is sent once a crowd of clients has connected, each of which has said the same. */
     private static double answeredAfterMs(int crowd, String says) throws Exception {
         List<Socket> before = new ArrayList<>();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
                         .start()) {
             for (int i = 0; i < crowd; i++) before.add(send(world, says));
             try (Socket client = send(world, request("a1", "lookup", BUDGET_S))) {
                 long sentNanos = System.nanoTime();
-                World.readUntil(client, "HTTP/1.1 ");
+                GatewayFixture.readUntil(client, "HTTP/1.1 ");
                 return (System.nanoTime() - sentNanos) / 1e6;
             }
         } finally {
@@ -255,12 +255,12 @@
     @Test
     void idleConnectionsMakeRoomForNewOnes() throws Exception {
         List<Socket> stayed = new ArrayList<>();
-        try (World world = new World().sockets(128).start()) {
+        try (GatewayFixture world = new GatewayFixture().sockets(128).start()) {
             for (int i = 0; i < 100; i++) {
                 stayed.add(send(world, READY));
                 assertThat(stayed.get(i).getInputStream().read()).isEqualTo('H');
             }
-            assertThat(World.readAll(stayed.get(0).getInputStream())).startsWith("TTP/1.1 200");
+            assertThat(GatewayFixture.readAll(stayed.get(0).getInputStream())).startsWith("TTP/1.1 200");
             Socket last = stayed.get(99);
             last.getOutputStream().write(READY.getBytes(StandardCharsets.UTF_8));
             assertThat(last.getInputStream().read()).isPositive();
--- a/src/test/java/maplerail/front/MalformedRequestTest.java
+++ b/src/test/java/maplerail/front/MalformedRequestTest.java
@@ -1,13 +1,13 @@
 package maplerail.front;
 
-import static maplerail.support.World.request;
+import static maplerail.support.GatewayFixture.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -18,7 +18,7 @@
     private static final int LIMIT_MS = 20_000; // ends a test that would never end
     private static final String LENGTH = "Content-Length: 15\r\n";
 
-    private static String send(World world, String text) throws IOException {
+    private static String send(GatewayFixture world, String text) throws IOException {
         try (Socket client = world.connect()) {
             client.setSoTimeout(LIMIT_MS);
             try {
@@ -26,7 +26,7 @@
             } catch (IOException e) {
                 return "<reset>"; // closed while the text was still on its way
             }
-            return World.readAll(client.getInputStream());
+            return GatewayFixture.readAll(client.getInputStream());
         }
     }
 
@@ -47,9 +47,9 @@
             "Transfer-Encoding: chunked\r\n",
     })
     void aBodyWhoseLengthCannotBeReadIsTurnedAway(String framing) throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             long startNanos = System.nanoTime();
             String answer = send(world, request("a1", "lookup", "60").replace(LENGTH, framing));
             assertThat(System.nanoTime() - startNanos).isLessThan(PROMPT_MS * 1_000_000L);
@@ -60,7 +60,7 @@
 
     @Test
     void aHeadThatNeverEndsIsTurnedAway() throws Exception {
-        try (StandIn reader = World.reader(); World world = new World().engine("r", "prefill", reader).start()) {
+        try (StandIn reader = GatewayFixture.reader(); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start()) {
             String endless = "POST / HTTP/1.1\r\n" + "X-Padding: more and more\r\n".repeat(40_000);
             assertThat(send(world, endless)).doesNotContain(" 200 ");
             assertThat(reader.seen).isEmpty();
@@ -69,9 +69,9 @@
 
     @Test
     void halfARequestAndThenACloseGoesNoFurther() throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             String whole = request("half", "lookup", "5.0");
             for (int length : new int[] {1, 30, whole.indexOf("\r\n\r\n"), whole.length() - 1}) {
                 try (Socket client = world.connect()) {
@@ -85,9 +85,9 @@
 
     @Test
     void aSoundRequestIsServedHoweverItIsCutIntoPieces() throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = world.connect()) {
             client.setTcpNoDelay(true);
             String whole = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
@@ -95,7 +95,7 @@
                 client.getOutputStream().write(one);
                 client.getOutputStream().flush();
             }
-            assertThat(World.readAll(client.getInputStream())).startsWith("HTTP/1.1 200").contains("[DONE]");
+            assertThat(GatewayFixture.readAll(client.getInputStream())).startsWith("HTTP/1.1 200").contains("[DONE]");
         }
     }
 }
--- a/src/test/java/maplerail/front/PlatformTest.java
+++ b/src/test/java/maplerail/front/PlatformTest.java
@@ -1,15 +1,15 @@
 package maplerail.front;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.request;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.request;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.BlockingQueue;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -18,9 +18,9 @@
 class PlatformTest {
     @Test
     void aRequestIsReadThenWrittenAndItsEventsPassUnchanged() throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).startsWith("HTTP/1.1 200").contains("data: {\"a\":1}\n\n", "data: [DONE]\n\n")
                     .endsWith("0\r\n\r\n");
@@ -46,8 +46,8 @@
             POST /v1/chat/completions    | POST /-/load                     | 404
             """)
     void badInputIsTheClientsAndGoesNoFurther(String right, String wrong, int status) throws Exception {
-        try (StandIn reader = World.reader();
-                World world = new World().engine("r", "prefill", reader).start()) {
+        try (StandIn reader = GatewayFixture.reader();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0").replace(right, wrong));
             assertThat(answer).startsWith("HTTP/1.1 " + status);
             assertThat(reader.seen).isEmpty();
@@ -56,8 +56,8 @@
 
     @Test
     void aBodyInChunksIsTooLargeAtTheSameLength() throws Exception {
-        try (StandIn reader = World.reader();
-                World world = new World().engine("r", "prefill", reader).start();
+        try (StandIn reader = GatewayFixture.reader();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start();
                 Socket client = world.connect()) {
             String head = request("a1", "lookup", "5.0").replace("Content-Length: 15", "Transfer-Encoding: chunked")
                     .replace("{\"stream\":true}", "");
@@ -73,9 +73,9 @@
     @Test
     void theKnownListServesWhileDiscoveryIsSilent() throws Exception {
         try (StandIn silent = new StandIn(StandIn.Exchange::awaitClose);
-                StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().withDiscovery(silent).engine("r", "prefill", reader)
+                StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().withDiscovery(silent).engine("r", "prefill", reader)
                         .engine("w", "decode", writer).start()) {
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
         }
@@ -83,9 +83,9 @@
 
     @Test
     void whatTheModuleGivesUpOnIsRefusedWithAdvice() throws Exception {
-        try (World world = new World().start()) {
+        try (GatewayFixture world = new GatewayFixture().start()) {
             assertThat(world.gateway.trackedRequests()).isZero();
-            try (StandIn drained = World.reader()) {
+            try (StandIn drained = GatewayFixture.reader()) {
                 world.engine("r", "prefill", drained, "terminating");
                 await("ready", () -> status(world, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").contains(" 200 "));
                 assertThat(world.exchange(request("a1", "lookup", "0.1")))
@@ -95,7 +95,7 @@
         }
     }
 
-    private static String status(World world, String request) {
+    private static String status(GatewayFixture world, String request) {
         try {
             return world.exchange(request);
         } catch (java.io.IOException e) {
@@ -108,7 +108,7 @@
     @CsvSource({"full,lookup,200,2", "gone,lookup,200,2", "error,repair-order,502,1", "reset,repair-order,502,1",
             "full,repair-order,200,2", "error,lookup,200,2", "reset,lookup,200,2"})
     void outcomesDecideWhatMayBeSentAgain(String how, String kind, int status, int sends) throws Exception {
-        BlockingQueue<String> first = World.queue();
+        BlockingQueue<String> first = GatewayFixture.queue();
         first.add(how);
         StandIn.Handler handler = x -> {
             if (x.method.equals("DELETE")) x.reply(204, "");
@@ -124,10 +124,10 @@
                 }
             }
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
                 StandIn other = new StandIn(handler);
-                World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer)
                         .engine("w2", "decode", other).start()) {
             assertThat(world.exchange(request("a1", kind, "5.0"))).startsWith("HTTP/1.1 " + status);
             assertThat(writer.count("POST") + other.count("POST")).isEqualTo(sends);
@@ -143,9 +143,9 @@
             x.chunk("data: 1\n\ndata: hal");
             x.reset();
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).contains("data: 1\n\n").doesNotContain("hal").doesNotContain("\r\n0\r\n");
             assertThat(writer.count("POST")).isEqualTo(1);
@@ -162,9 +162,9 @@
             x.write(end);
             x.reset();
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).doesNotContain("\r\n0\r\n");
         }
     }
@@ -180,9 +180,9 @@
             x.write(spoilt);
             x.awaitClose();
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).endsWith("data: 1\n\n\r\n").doesNotContain("data: 2").doesNotContain("\r\n0\r\n");
             await("the spoilt connection ended", () -> writer.closedConnections() == 1);
@@ -192,10 +192,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"noise\n", "HTTP/1.1 200 OK\r\nno header\r\n\r\n", "HTTP/1.1 200 OK\r\nA: "})
     void aHeadThatCannotBeReadIsAnAttemptThatMayHaveRun(String head) throws Exception {
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
             x.write(head);
             x.awaitClose();
-        }); World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+        }); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             assertThat(world.exchange(request("a1", "repair-order", "15.0"))).startsWith("HTTP/1.1 502");
             assertThat(writer.count("POST")).isEqualTo(1);
         }
@@ -211,8 +211,8 @@
         };
         try (StandIn reader = new StandIn(picky);
                 StandIn other = new StandIn(picky);
-                StandIn writer = World.writer();
-                World world = new World().engine("r1", "prefill", reader).engine("r2", "prefill", other)
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r1", "prefill", reader).engine("r2", "prefill", other)
                         .engine("w", "decode", writer).start()) {
             for (int i = 1; i <= 10; i++) {
                 assertThat(world.exchange(request("bad" + i, "lookup", "5.0"))).startsWith("HTTP/1.1 400");
@@ -229,25 +229,25 @@
             x.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndata: 1\n\n");
             x.reset();
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).doesNotContain("\r\n0\r\n");
         }
     }
 
     @Test
     void aClientThatLeavesEndsTheAttemptAndLetsTheStateGo() throws Exception {
-        BlockingQueue<StandIn.Exchange> waiting = World.queue();
-        BlockingQueue<String> ended = World.queue();
+        BlockingQueue<StandIn.Exchange> waiting = GatewayFixture.queue();
+        BlockingQueue<String> ended = GatewayFixture.queue();
         StandIn.Handler silent = x -> {
             waiting.add(x);
             x.awaitClose();
             ended.add(x.headers.get("req-id"));
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(silent);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             Socket client = world.connect();
             client.getOutputStream().write(request("a1", "repair-order", "5.0").getBytes(StandardCharsets.UTF_8));
             assertThat(Double.parseDouble(take(waiting).headers.get("req-deadline"))).isBetween(0.0, 5.0);
@@ -260,12 +260,12 @@
 
     @Test
     void aDrainingEngineGetsNothingNew() throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                StandIn other = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer)
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                StandIn other = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer)
                         .engine("w2", "decode", other).start()) {
-            BlockingQueue<String> told = World.queue();
+            BlockingQueue<String> told = GatewayFixture.queue();
             world.engine("w1", "decode", writer, "terminating");
             world.engine("x", "decode", writer, "terminating");
             await("told", () -> {
@@ -284,10 +284,10 @@
 
     @Test
     void whatAClientSendsEarlyIsItsNextRequest() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        try (StandIn reader = World.reader();
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(streams::add);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = world.connect()) {
             client.getOutputStream().write(request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
             StandIn.Exchange first = take(streams);
@@ -295,7 +295,7 @@
             client.getOutputStream().write(closing.getBytes(StandardCharsets.UTF_8));
             first.reply(200, "data: one\n\n");
             take(streams).reply(200, "data: two\n\n");
-            assertThat(World.readAll(client.getInputStream())).contains("data: one\n\n", "data: two\n\n");
+            assertThat(GatewayFixture.readAll(client.getInputStream())).contains("data: one\n\n", "data: two\n\n");
         }
     }
 
@@ -303,10 +303,10 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250, 1_000})
     void whatStandsBehindARequestHoldsUpNothingOfItsAnswer(int behind) throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        try (StandIn reader = World.reader();
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(streams::add);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = world.connect()) {
             client.setSoTimeout(2_000);
             String next = request("a2", "lookup", "5.0").repeat(9).substring(0, behind);
@@ -314,10 +314,10 @@
             StandIn.Exchange stream = take(streams);
             stream.startStream();
             stream.chunk("data: one\n\n");
-            assertThat(World.readUntil(client, "data: one\n\n")).contains("data: one\n\n");
+            assertThat(GatewayFixture.readUntil(client, "data: one\n\n")).contains("data: one\n\n");
             stream.chunk("data: [DONE]\n\n");
             stream.endStream();
-            assertThat(World.readUntil(client, "\r\n0\r\n\r\n")).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
+            assertThat(GatewayFixture.readUntil(client, "\r\n0\r\n\r\n")).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
         }
     }
 
@@ -325,11 +325,11 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250, 1_000})
     void whatStandsBehindARequestHoldsUpNoRefusal(int behind) throws Exception {
-        try (World world = new World().start(); Socket client = world.connect()) {
+        try (GatewayFixture world = new GatewayFixture().start(); Socket client = world.connect()) {
             client.setSoTimeout(2_000);
             String next = request("a2", "lookup", "5.0").repeat(9).substring(0, behind);
             client.getOutputStream().write((request("a1", "nonsense", "5.0") + next).getBytes(StandardCharsets.UTF_8));
-            assertThat(World.readUntil(client, "Req-Kind: unknown")).startsWith("HTTP/1.1 400");
+            assertThat(GatewayFixture.readUntil(client, "Req-Kind: unknown")).startsWith("HTTP/1.1 400");
         }
     }
 
@@ -337,12 +337,12 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250})
     void whatStandsBehindALookForReadinessHoldsUpNothing(int behind) throws Exception {
-        try (World world = new World().start(); Socket client = world.connect()) {
+        try (GatewayFixture world = new GatewayFixture().start(); Socket client = world.connect()) {
             client.setSoTimeout(2_000);
             String next = request("a2", "lookup", "5.0").repeat(2).substring(0, behind);
             String ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
             client.getOutputStream().write((ready + next).getBytes(StandardCharsets.UTF_8));
-            assertThat(World.readUntil(client, "\r\n\r\n")).startsWith("HTTP/1.1 200");
+            assertThat(GatewayFixture.readUntil(client, "\r\n\r\n")).startsWith("HTTP/1.1 200");
         }
     }
 
@@ -350,15 +350,15 @@
     @ParameterizedTest
     @ValueSource(ints = {9, 1_000})
     void aClientThatLeavesBehindEarlyRequestsEndsThemAll(int requests) throws Exception {
-        BlockingQueue<StandIn.Exchange> waiting = World.queue();
-        BlockingQueue<String> ended = World.queue();
+        BlockingQueue<StandIn.Exchange> waiting = GatewayFixture.queue();
+        BlockingQueue<String> ended = GatewayFixture.queue();
         StandIn.Handler silent = x -> {
             waiting.add(x);
             x.awaitClose();
             ended.add(x.headers.get("req-id"));
         };
         try (StandIn reader = new StandIn(silent);
-                World world = new World().engine("r", "prefill", reader).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start()) {
             try (Socket client = world.connect()) {
                 client.getOutputStream().write(request("a1", "repair-order", "60").getBytes(StandardCharsets.UTF_8));
                 take(waiting);
@@ -376,9 +376,9 @@
     @ParameterizedTest
     @ValueSource(ints = {40, 600})
     void manyRequestsAtOnceAreAnsweredOneAfterTheOther(int requests) throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = world.connect()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
@@ -386,7 +386,7 @@
             }
             all.append(request("z", "lookup", "5.0").replaceFirst("\r\n", "\r\nConnection: close\r\n"));
             client.getOutputStream().write(all.toString().getBytes(StandardCharsets.UTF_8));
-            String[] answers = World.readAll(client.getInputStream()).split("HTTP/1.1 ");
+            String[] answers = GatewayFixture.readAll(client.getInputStream()).split("HTTP/1.1 ");
             assertThat(answers).hasSize(requests + 2);
             for (int i = 0; i <= requests; i++) assertThat(answers[i + 1]).startsWith(i % 2 == 0 ? "200" : "400");
         }
@@ -394,11 +394,11 @@
 
     @Test
     void twoOpenRequestsOfOneIdCannotBe() throws Exception {
-        BlockingQueue<StandIn.Exchange> waiting = World.queue();
+        BlockingQueue<StandIn.Exchange> waiting = GatewayFixture.queue();
         try (StandIn reader = new StandIn(x -> {
             waiting.add(x);
             x.awaitClose();
-        }); World world = new World().engine("r", "prefill", reader).start(); Socket first = world.connect()) {
+        }); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start(); Socket first = world.connect()) {
             first.getOutputStream().write(request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
             take(waiting);
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 409");
--- a/src/test/java/maplerail/front/ToolCallTest.java
+++ b/src/test/java/maplerail/front/ToolCallTest.java
@@ -1,7 +1,7 @@
 package maplerail.front;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import maplerail.config.JsonValue;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -25,14 +25,14 @@
 
     /** A client: what it hears, and how many final answers came for an id. */
     private static final class Client implements WebSocket.Listener {
-        final BlockingQueue<JsonValue> answers = World.queue();
-        final BlockingQueue<String> events = World.queue();
+        final BlockingQueue<JsonValue> answers = GatewayFixture.queue();
+        final BlockingQueue<String> events = GatewayFixture.queue();
         final StringBuilder part = new StringBuilder();
         final AtomicInteger answered = new AtomicInteger();
         String lastText;
         WebSocket socket;
 
-        static Client connect(World world, String team) {
+        static Client connect(GatewayFixture world, String team) {
             Client client = new Client();
             client.socket = HttpClient.newHttpClient().newWebSocketBuilder().header("Req-Owner", team)
                     .buildAsync(URI.create("ws://127.0.0.1:" + world.gateway.rpcAddress().getPort() + "/rpc"), client)
@@ -93,8 +93,8 @@
         return "\"services\":{\"records\":{\"path\":\"/tool\",\"servers\":[\"" + list + "\"]}},";
     }
 
-    private static World world(StandIn... servers) throws Exception {
-        return new World().start(tools(servers(servers), "5000", 4, 1000));
+    private static GatewayFixture world(StandIn... servers) throws Exception {
+        return new GatewayFixture().start(tools(servers(servers), "5000", 4, 1000));
     }
 
     private static StandIn tool(AtomicInteger effects) throws Exception {
@@ -106,15 +106,15 @@
 
     @Test
     void aCallIsAnsweredWhileAnAnswerStreamsAndItsDecodeBoxDrains() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        BlockingQueue<StandIn.Exchange> calls = World.queue();
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
             x.startStream();
             x.chunk("data: one\n\n");
             streams.add(x);
         });
                 StandIn tool = new StandIn(calls::add);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
                         .start(tools(servers(tool), "5000", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.answer(1);
@@ -140,15 +140,15 @@
 
     @Test
     void aDecodeBoxThatDiesMidCallFailsTheAnswerAndNotTheCall() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        BlockingQueue<StandIn.Exchange> calls = World.queue();
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
             x.startStream();
             x.chunk("data: one\n\n");
             streams.add(x);
         });
                 StandIn tool = new StandIn(calls::add);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
                         .start(tools(servers(tool), "5000", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.answer(1);
@@ -166,15 +166,15 @@
     @Test
     void aClientThatLeavesWhileTheReplyIsInFlightLeavesNothingBehind() throws Exception {
         AtomicInteger effects = new AtomicInteger();
-        BlockingQueue<StandIn.Exchange> calls = World.queue();
-        BlockingQueue<String> ended = World.queue();
+        BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
+        BlockingQueue<String> ended = GatewayFixture.queue();
         try (StandIn tool = new StandIn(x -> {
             effects.incrementAndGet();
             x.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"jsonrpc\"");
             calls.add(x);
             x.awaitClose();
             ended.add("ended");
-        }); World world = world(tool)) {
+        }); GatewayFixture world = world(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             take(calls);
@@ -193,7 +193,7 @@
             effects.incrementAndGet();
             x.reset();
         };
-        try (StandIn one = new StandIn(reset); StandIn two = new StandIn(reset); World world = world(one, two)) {
+        try (StandIn one = new StandIn(reset); StandIn two = new StandIn(reset); GatewayFixture world = world(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             JsonValue error = client.answer().at("error");
@@ -212,7 +212,7 @@
             if (left.getAndDecrement() > 0) x.reset();
             else x.reply(200, RESULT);
         };
-        try (StandIn one = new StandIn(once); StandIn two = new StandIn(once); World world = world(one, two)) {
+        try (StandIn one = new StandIn(once); StandIn two = new StandIn(once); GatewayFixture world = world(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "columns.find");
             assertThat(client.answer().at("result").present()).isTrue();
@@ -228,7 +228,7 @@
             if (left.getAndDecrement() > 0) x.reply(503, "", "Srv-Declined: 1");
             else x.reply(200, RESULT);
         };
-        try (StandIn one = new StandIn(once); StandIn two = new StandIn(once); World world = world(one, two)) {
+        try (StandIn one = new StandIn(once); StandIn two = new StandIn(once); GatewayFixture world = world(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             assertThat(client.answer().at("result").present()).isTrue();
@@ -238,7 +238,7 @@
     @Test
     void aCallIsAnsweredByItsDeadline() throws Exception {
         try (StandIn tool = new StandIn(StandIn.Exchange::awaitClose);
-                World world = new World().start(tools(servers(tool), "200", 4, 1000))) {
+                GatewayFixture world = new GatewayFixture().start(tools(servers(tool), "200", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             assertThat(client.answer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
@@ -249,9 +249,9 @@
 
     @Test
     void aTeamsBudgetIsKeptAndGivenBack() throws Exception {
-        BlockingQueue<StandIn.Exchange> calls = World.queue();
+        BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
         try (StandIn tool = new StandIn(calls::add);
-                World world = new World().start(tools(servers(tool), "5000", 1, 1000))) {
+                GatewayFixture world = new GatewayFixture().start(tools(servers(tool), "5000", 1, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "columns.find");
             StandIn.Exchange first = take(calls);
@@ -271,7 +271,7 @@
     @Test
     void aReplyLargerThanItsContractFails() throws Exception {
         try (StandIn tool = tool(new AtomicInteger());
-                World world = new World().start(tools(servers(tool), "5000", 4, 20))) {
+                GatewayFixture world = new GatewayFixture().start(tools(servers(tool), "5000", 4, 20))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "columns.find");
             assertThat(client.answer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
@@ -281,8 +281,8 @@
 
     @Test
     void aCancelledCallGetsItsOneAnswerAndItsIdIsFree() throws Exception {
-        BlockingQueue<StandIn.Exchange> calls = World.queue();
-        try (StandIn tool = new StandIn(calls::add); World world = world(tool)) {
+        BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
+        try (StandIn tool = new StandIn(calls::add); GatewayFixture world = world(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             StandIn.Exchange call = take(calls);
@@ -316,7 +316,7 @@
             """)
     void badMessagesAreAnsweredAndGoNoFurther(String message, int code) throws Exception {
         AtomicInteger effects = new AtomicInteger();
-        try (StandIn tool = tool(effects); World world = world(tool)) {
+        try (StandIn tool = tool(effects); GatewayFixture world = world(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.say(message);
             assertThat(client.answer().at("error").at("code").number()).isEqualTo(code);
@@ -329,7 +329,7 @@
     @Test
     void anArgumentLargerThanItsContractGoesNoFurther() throws Exception {
         AtomicInteger effects = new AtomicInteger();
-        try (StandIn tool = tool(effects); World world = world(tool)) {
+        try (StandIn tool = tool(effects); GatewayFixture world = world(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.say("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"columns.find\","
                     + "\"arguments\":{\"a\":\"" + "x".repeat(200) + "\"}}}");
@@ -340,7 +340,7 @@
 
     @Test
     void aTeamThatTheFileDoesNotNameIsNotLetIn() throws Exception {
-        try (StandIn tool = tool(new AtomicInteger()); World world = world(tool)) {
+        try (StandIn tool = tool(new AtomicInteger()); GatewayFixture world = world(tool)) {
             assertThatThrownBy(() -> Client.connect(world, "nobody")).isInstanceOf(CompletionException.class);
         }
     }
@@ -352,7 +352,7 @@
         try (StandIn first = tool(one);
                 StandIn second = tool(two);
                 ConsulStandIn consul = new ConsulStandIn(first, second);
-                World world = new World().start(tools("\"consul\":\"" + consul.address()
+                GatewayFixture world = new GatewayFixture().start(tools("\"consul\":\"" + consul.address()
                         + "\",\"services\":{\"records\":{\"path\":\"/tool\"}},", "300", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             await("found", () -> served(client));
--- a/src/test/java/maplerail/net/ConnectionPoolTest.java
+++ b/src/test/java/maplerail/net/ConnectionPoolTest.java
@@ -1,7 +1,7 @@
 package maplerail.net;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.undertow.util.HeaderMap;
@@ -26,7 +26,7 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -38,7 +38,7 @@
     @RegisterExtension
     private final LoopOnWorker own;
     private final XnioLoop loop;
-    private final BlockingQueue<String> heard = World.queue();
+    private final BlockingQueue<String> heard = GatewayFixture.queue();
 
     ConnectionPoolTest() throws Exception {
         own = new LoopOnWorker();
@@ -128,7 +128,7 @@
     /** The client library would hold the next request back behind the rest of this one. */
     @Test
     void aConnectionOnWhichARequestIsHalfWrittenIsNotUsedAgain() throws Exception {
-        BlockingQueue<String> ends = World.queue();
+        BlockingQueue<String> ends = GatewayFixture.queue();
         try (ServerSocket server = new ServerSocket(0, 9, InetAddress.getByName("127.0.0.1"))) {
             InetSocketAddress at = (InetSocketAddress) server.getLocalSocketAddress();
             ConnectionPool pool = pool(1e12);
@@ -140,7 +140,7 @@
             try (Socket early = server.accept()) {
                 early.getOutputStream().write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".getBytes());
                 assertThat(take(ends)).isEqualTo("end");
-                World.readAll(early.getInputStream());
+                GatewayFixture.readAll(early.getInputStream());
             }
         }
     }
@@ -164,7 +164,7 @@
     /** Engines must leave clients their part of the descriptors. */
     @Test
     void thePoolHoldsNoMoreThanItsPart() throws Exception {
-        BlockingQueue<StandIn.Exchange> waiting = World.queue();
+        BlockingQueue<StandIn.Exchange> waiting = GatewayFixture.queue();
         try (StandIn server = new StandIn(waiting::add); StandIn other = new StandIn(x -> x.reply(200, ""))) {
             ConnectionPool pool = pool(30_000);
             assertThat(post(pool, other.socketAddress())).isEqualTo("end");
@@ -181,7 +181,7 @@
     /** Attempts at engines that hang must not hide what discovery tells, nor keep states pinned. */
     @Test
     void aWatchAndAReleaseFindRoomThoughThePoolIsFull() throws Exception {
-        BlockingQueue<StandIn.Exchange> waiting = World.queue();
+        BlockingQueue<StandIn.Exchange> waiting = GatewayFixture.queue();
         try (StandIn hanging = new StandIn(x -> {
             if (x.method.equals("DELETE")) x.reply(204, "");
             else waiting.add(x);
@@ -304,7 +304,7 @@
             for (int i = 0; i < 2; i++) full.accept().close();
             full.setSoTimeout(2_000);
             try (Socket late = full.accept()) {
-                assertThat(World.readAll(late.getInputStream())).isIn("", "<reset>");
+                assertThat(GatewayFixture.readAll(late.getInputStream())).isIn("", "<reset>");
             } catch (SocketTimeoutException e) {
                 assertThat(before).as("the connection was called off before it came up").hasSize(2);
             }
@@ -338,7 +338,7 @@
     @ParameterizedTest
     @MethodSource("faultsOfThisMachine")
     void aFaultOfThisMachineThatPassesCostsNothing(IOException fault) throws Exception {
-        try (StandIn server = World.reader()) {
+        try (StandIn server = GatewayFixture.reader()) {
             ConnectionPool pool = pool(30_000, 2_000);
             failFirst(pool, 3, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("end");
@@ -349,7 +349,7 @@
     @ParameterizedTest
     @MethodSource("faultsOfThisMachine")
     void aFaultOfThisMachineThatLastsIsNotPutDownToTheFarSide(IOException fault) throws Exception {
-        try (StandIn server = World.reader()) {
+        try (StandIn server = GatewayFixture.reader()) {
             ConnectionPool pool = pool(30_000, 150);
             failFirst(pool, Integer.MAX_VALUE, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("local fault");
@@ -365,7 +365,7 @@
     @ParameterizedTest
     @MethodSource("faultsOfTheFarSide")
     void whatTheFarSideRefusesIsToldAtOnce(IOException fault) throws Exception {
-        try (StandIn server = World.reader()) {
+        try (StandIn server = GatewayFixture.reader()) {
             ConnectionPool pool = pool(30_000, 20_000);
             failFirst(pool, Integer.MAX_VALUE, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("never sent");
--- a/src/test/java/maplerail/net/EngineClientTest.java
+++ b/src/test/java/maplerail/net/EngineClientTest.java
@@ -1,7 +1,7 @@
 package maplerail.net;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.undertow.util.Methods;
@@ -12,7 +12,7 @@
 import maplerail.core.ServiceRequest;
 import maplerail.core.EngineTransport;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
@@ -24,7 +24,7 @@
     @RegisterExtension
     private final LoopOnWorker own;
     private final XnioLoop loop;
-    private final BlockingQueue<String> heard = World.queue();
+    private final BlockingQueue<String> heard = GatewayFixture.queue();
 
     EngineClientTest() throws Exception {
         own = new LoopOnWorker();
@@ -61,7 +61,7 @@
     /** An attempt may wait for a connection; what it tells its engine is what the client has left by then. */
     @Test
     void theDeadlineThatIsToldIsTheTimeLeftWhenTheRequestIsWritten() throws Exception {
-        BlockingQueue<StandIn.Exchange> asked = World.queue();
+        BlockingQueue<StandIn.Exchange> asked = GatewayFixture.queue();
         try (StandIn engine = new StandIn(asked::add)) {
             EngineClient client = client(engine, 1);
             double startMs = loop.nowMs();
@@ -80,9 +80,9 @@
     /** The state that it lets go counts as held until it arrives, and a kept connection may be silent. */
     @Test
     void aReleaseThatAKeptConnectionSwallowsGoesOutAgainAtOnceOnANewOne() throws Exception {
-        BlockingQueue<StandIn.Exchange> reads = World.queue();
-        BlockingQueue<Double> releasedMs = World.queue();
-        BlockingQueue<EngineTransport.ReleaseResult> results = World.queue();
+        BlockingQueue<StandIn.Exchange> reads = GatewayFixture.queue();
+        BlockingQueue<Double> releasedMs = GatewayFixture.queue();
+        BlockingQueue<EngineTransport.ReleaseResult> results = GatewayFixture.queue();
         try (StandIn engine = new StandIn(exchange -> {
             if (exchange.method.equals("POST")) {
                 reads.add(exchange);
@@ -110,7 +110,7 @@
 
     @Test
     void aReleaseThatIsNeverAnsweredIsGivenUpAtItsTime() throws Exception {
-        BlockingQueue<EngineTransport.ReleaseResult> results = World.queue();
+        BlockingQueue<EngineTransport.ReleaseResult> results = GatewayFixture.queue();
         try (StandIn engine = new StandIn(StandIn.Exchange::awaitClose)) {
             EngineClient client = client(engine, 4);
             double startMs = loop.nowMs();
--- a/src/test/java/maplerail/net/SlowAnswerTest.java
+++ b/src/test/java/maplerail/net/SlowAnswerTest.java
@@ -1,6 +1,6 @@
 package maplerail.net;
 
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.undertow.client.ClientRequest;
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -37,7 +37,7 @@
     @RegisterExtension
     private final LoopOnWorker own;
     private final XnioLoop loop;
-    private final BlockingQueue<String> heard = World.queue();
+    private final BlockingQueue<String> heard = GatewayFixture.queue();
     private final StringBuilder came = new StringBuilder();
 
     SlowAnswerTest() throws Exception {
--- a/src/test/java/maplerail/net/XnioLoopTest.java
+++ b/src/test/java/maplerail/net/XnioLoopTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.concurrent.BlockingQueue;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
@@ -14,7 +14,7 @@
     @RegisterExtension
     private final LoopOnWorker own;
     private final XnioLoop loop;
-    private final BlockingQueue<String> heard = World.queue();
+    private final BlockingQueue<String> heard = GatewayFixture.queue();
 
     XnioLoopTest() throws Exception {
         own = new LoopOnWorker();
@@ -29,9 +29,9 @@
             });
             loop.runAfterInput(() -> heard.add("ran"));
         });
-        assertThat(World.take(heard)).isEqualTo("ran");
+        assertThat(GatewayFixture.take(heard)).isEqualTo("ran");
         double beforeMs = loop.nowMs();
-        World.await("it still looks", () -> loop.inputArrivedAfterMs() > beforeMs);
+        GatewayFixture.await("it still looks", () -> loop.inputArrivedAfterMs() > beforeMs);
     }
 
     @Test
@@ -40,13 +40,13 @@
             loop.runAfterInput(() -> heard.add("called off")).cancel();
             loop.runAfterInput(() -> heard.add("ran"));
         });
-        assertThat(World.take(heard)).isEqualTo("ran");
+        assertThat(GatewayFixture.take(heard)).isEqualTo("ran");
     }
 
     @Test
     void whatIsReadAfterAStandstillMayHaveComeAtItsStart() throws Exception {
         double startMs = loop.nowMs();
-        World.await("it looks", () -> loop.inputArrivedAfterMs() > startMs);
+        GatewayFixture.await("it looks", () -> loop.inputArrivedAfterMs() > startMs);
         loop.execute(() -> {
             double stoppedMs = loop.nowMs();
             while (loop.nowMs() < stoppedMs + STOOD_STILL_MS) Thread.onSpinWait();
@@ -54,9 +54,9 @@
             loop.runAfterInput(
                     () -> heard.add(loop.connectionsArrivedAfterMs() <= stoppedMs ? "unread since" : "known"));
         });
-        assertThat(World.take(heard)).isEqualTo("unread since");
-        assertThat(World.take(heard)).as("of connections, of which some may still wait").isEqualTo("unread since");
+        assertThat(GatewayFixture.take(heard)).isEqualTo("unread since");
+        assertThat(GatewayFixture.take(heard)).as("of connections, of which some may still wait").isEqualTo("unread since");
         double afterMs = loop.nowMs();
-        World.await("it has caught up", () -> loop.connectionsArrivedAfterMs() > afterMs);
+        GatewayFixture.await("it has caught up", () -> loop.connectionsArrivedAfterMs() > afterMs);
     }
 }
--- a/src/test/java/maplerail/support/World.java
+++ b/src/test/java/maplerail/support/GatewayFixture.java
@@ -17,7 +17,7 @@
 import maplerail.core.Lifecycle.Phase;
 
 /** A test fixture: a gateway in this process with stand-ins for discovery and engines, all on loopback. */
-public final class World implements AutoCloseable {
+public final class GatewayFixture implements AutoCloseable {
     public static final String SETTINGS = """
             {"balancers":1,"zone":0,"tickMs":2.0,"discovery":"push","overShareWorth":0.2,
              "familyInfo":{"kindRole":["read","write"],"kindMemoryTokens":[200000,150000],"pinLimitMs":500.0,
@@ -37,7 +37,7 @@
     private int sockets = 1_024;
     public Gateway gateway;
 
-    public World() throws IOException {
+    public GatewayFixture() throws IOException {
         discovery = new StandIn(exchange -> {
             int indexStart = exchange.target.indexOf("index=");
             if (indexStart >= 0 && !exchange.target.endsWith("wait=0"))
@@ -46,7 +46,7 @@
         });
     }
 
-    public World withDiscovery(StandIn other) {
+    public GatewayFixture withDiscovery(StandIn other) {
         discovery = other;
         return this;
     }
@@ -55,21 +55,21 @@
         return discovery;
     }
 
-    public World sockets(int max) {
+    public GatewayFixture sockets(int max) {
         sockets = max;
         return this;
     }
 
-    public World engine(String host, String kind, StandIn at) {
+    public GatewayFixture engine(String host, String kind, StandIn at) {
         return engine(host, kind, at, "in_service");
     }
 
-    public World engine(String host, String kind, StandIn at, String health) {
+    public GatewayFixture engine(String host, String kind, StandIn at, String health) {
         return engine(host, kind, at.address(), health);
     }
 
     /** Lists an engine at an address, whether or not anything listens there. */
-    public synchronized World engine(String host, String kind, String address, String health) {
+    public synchronized GatewayFixture engine(String host, String kind, String address, String health) {
         hosts.put(host,
                 "{\"host\":\"" + host + "\",\"dial\":\"" + address + "\",\"site\":\"caerdydd\",\"class\":\""
                         + kind + "\",\"block\":1,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}");
@@ -92,22 +92,22 @@
                 + ",\"settings\":" + SETTINGS + "}";
     }
 
-    public World start() throws Exception {
+    public GatewayFixture start() throws Exception {
         return start(null);
     }
 
-    public World start(String tools) throws Exception {
+    public GatewayFixture start(String tools) throws Exception {
         startWithoutWaiting(tools);
         await("ready", () -> gateway.phase() == Phase.READY);
         return this;
     }
 
     /** Starts the gateway without waiting until it is ready. */
-    public World startWithoutWaiting() throws Exception {
+    public GatewayFixture startWithoutWaiting() throws Exception {
         return startWithoutWaiting(null);
     }
 
-    private World startWithoutWaiting(String tools) throws Exception {
+    private GatewayFixture startWithoutWaiting(String tools) throws Exception {
         gateway = new Gateway(NodeConfig.read(config("127.0.0.1:0"), Map.of()),
                 tools == null ? null : ToolsConfig.read(tools));
         gateway.start();
--- a/src/test/java/maplerail/support/GatewayProgram.java
+++ b/src/test/java/maplerail/support/GatewayProgram.java
@@ -1,6 +1,6 @@
 package maplerail.support;
 
-import static maplerail.support.World.await;
+import static maplerail.support.GatewayFixture.await;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -73,7 +73,7 @@
         try (Socket socket = new Socket("127.0.0.1", port())) {
             socket.getOutputStream().write(request.replaceFirst("\r\n", "\r\nConnection: close\r\n")
                     .getBytes(StandardCharsets.UTF_8));
-            return World.readAll(socket.getInputStream());
+            return GatewayFixture.readAll(socket.getInputStream());
         } catch (IOException e) {
             return "";
         }
--- a/src/test/java/maplerail/support/HeldTimes.java
+++ b/src/test/java/maplerail/support/HeldTimes.java
@@ -105,7 +105,7 @@
 
     /** Waits until a state is released or fetched, and checks that it was held for less than {@link #LIMIT_MS} each time. */
     public void assertReleasedInTime(String id) throws InterruptedException {
-        World.await(id + " is released, or held for far too long", () -> isFinishedOrOverdue(id));
+        GatewayFixture.await(id + " is released, or held for far too long", () -> isFinishedOrOverdue(id));
         synchronized (this) {
             State state = state(id);
             List<Double> heldMs = new ArrayList<>(state.heldMs);
