--- a/src/test/java/maplerail/soak/ShimControl.java
+++ b/src/test/java/maplerail/soak/ShimControl.java
@@ -20,7 +20,7 @@
     static final int ETIMEDOUT = 110;
     static final int EHOSTUNREACH = 113;
 
-    private static final int BYTES = 4_096;
+    private static final int FILE_BYTES = 4_096;
 
     private final MappedByteBuffer control;
 
@@ -29,17 +29,17 @@
         ACCEPT_ERRNO(8), CONNECT_ERRNO(12), SOCKET_ERRNO(16), READ_ERRNO(20), READ_PERMILLE(24), SHORT_IO(
                 28), EINTR_PERMILLE(32), OPEN_ERRNO(36);
 
-        private final int at;
+        private final int offset;
 
-        Field(int at) {
-            this.at = at;
+        Field(int offset) {
+            this.offset = offset;
         }
     }
 
     ShimControl(Path file) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ,
                 StandardOpenOption.WRITE)) {
-            control = channel.map(FileChannel.MapMode.READ_WRITE, 0, BYTES);
+            control = channel.map(FileChannel.MapMode.READ_WRITE, 0, FILE_BYTES);
         }
         control.order(ByteOrder.nativeOrder());
     }
@@ -50,7 +50,7 @@
     }
 
     void set(Field field, int value) {
-        control.putInt(field.at, value);
+        control.putInt(field.offset, value);
     }
 
     /** Ends all faults; the offset of the wall clock stays. */
--- a/src/test/java/maplerail/support/GatewayFixture.java
+++ b/src/test/java/maplerail/support/GatewayFixture.java
@@ -46,8 +46,8 @@
         });
     }
 
-    public GatewayFixture withDiscovery(StandIn other) {
-        discovery = other;
+    public GatewayFixture withDiscovery(StandIn server) {
+        discovery = server;
         return this;
     }
 
@@ -60,12 +60,12 @@
         return this;
     }
 
-    public GatewayFixture engine(String host, String kind, StandIn at) {
-        return engine(host, kind, at, "in_service");
+    public GatewayFixture engine(String host, String kind, StandIn server) {
+        return engine(host, kind, server, "in_service");
     }
 
-    public GatewayFixture engine(String host, String kind, StandIn at, String health) {
-        return engine(host, kind, at.address(), health);
+    public GatewayFixture engine(String host, String kind, StandIn server, String health) {
+        return engine(host, kind, server.address(), health);
     }
 
     /** Lists an engine at an address, whether or not anything listens there. */
--- a/src/test/java/maplerail/support/HeldTimes.java
+++ b/src/test/java/maplerail/support/HeldTimes.java
@@ -103,7 +103,7 @@
         return state.isHeld() ? clockMs.getAsDouble() - state.sinceMs > OBSERVATION_LIMIT_MS : state.finished;
     }
 
-    /** Waits until a state is released or fetched, and checks that it was held for less than {@link #LIMIT_MS} each time. */
+    /** Waits until a state is released or fetched and checks that it was never held for {@link #LIMIT_MS} or longer. */
     public void assertReleasedInTime(String id) throws InterruptedException {
         GatewayFixture.await(id + " is released, or held for far too long", () -> isFinishedOrOverdue(id));
         synchronized (this) {
