--- a/src/test/java/maplerail/cli/AbandonedRequestIT.java
+++ b/src/test/java/maplerail/cli/AbandonedRequestIT.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import maplerail.support.GatewayProgram;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -36,10 +36,10 @@
                 return;
             }
             reads.release();
-            exchange.awaitEnd();
+            exchange.awaitClose();
         });
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             int port = gateway.readyPort();
             long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
@@ -54,7 +54,7 @@
     /** Sends a request and disconnects once its read was sent; returns false if no read was sent. */
     private static boolean sendAndDisconnect(int port, int number, Semaphore reads) throws InterruptedException {
         try (Socket client = new Socket("127.0.0.1", port)) {
-            String request = World.request("a" + number, "lookup", MAX_DEADLINE_S);
+            String request = GatewayFixture.request("a" + number, "lookup", MAX_DEADLINE_S);
             client.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
             return reads.tryAcquire(TIMEOUT_S / 8, TimeUnit.SECONDS);
         } catch (IOException e) {
--- a/src/test/java/maplerail/cli/DeadlineHeaderIT.java
+++ b/src/test/java/maplerail/cli/DeadlineHeaderIT.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import maplerail.support.GatewayProgram;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -61,21 +61,21 @@
         });
                 StandIn writer = new StandIn(exchange -> {
                     recordExcess(exchange);
-                    exchange.stream();
+                    exchange.startStream();
                     exchange.chunk("data: [DONE]\n\n");
-                    exchange.last();
+                    exchange.endStream();
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             scenario.run(gateway, gateway.readyPort());
-            World.await("requests passed on", () -> excessMs.size() >= minRequests);
+            GatewayFixture.await("requests passed on", () -> excessMs.size() >= minRequests);
             assertThat(excessMs.values()).as("deadline header above what was left, ms")
                     .allMatch(excess -> excess <= SLACK_MS);
         }
     }
 
     private String request(String id) {
-        return World.request(id, "lookup", "2.0");
+        return GatewayFixture.request(id, "lookup", "2.0");
     }
 
     private void recordSent(String id) {
@@ -95,9 +95,9 @@
             try (Socket client = new Socket("127.0.0.1", port)) {
                 recordSent("a1");
                 write(client, text.substring(0, body));
-                World.pass(SEND_MS);
+                GatewayFixture.pause(SEND_MS);
                 write(client, text.substring(body));
-                World.readUntil(client, "[DONE]");
+                GatewayFixture.readUntil(client, "[DONE]");
             }
         });
     }
@@ -109,15 +109,15 @@
             try (Socket client = new Socket("127.0.0.1", port)) {
                 recordSent("a1");
                 write(client, request("a1"));
-                World.readUntil(client, "[DONE]");
+                GatewayFixture.readUntil(client, "[DONE]");
                 String text = request("a2");
                 int piece = text.length() / 20;
                 recordSent("a2");
                 for (int i = 0; i < text.length(); i += piece) {
                     write(client, text.substring(i, Math.min(text.length(), i + piece)));
-                    World.pass(SEND_MS / 20);
+                    GatewayFixture.pause(SEND_MS / 20);
                 }
-                World.readUntil(client, "[DONE]");
+                GatewayFixture.readUntil(client, "[DONE]");
             }
         });
     }
@@ -130,17 +130,17 @@
             clients.add(new Socket("127.0.0.1", port));
             recordSent("warm");
             write(clients.get(0), request("warm"));
-            World.readUntil(clients.get(0), "[DONE]");
-            World.pass(REST_MS);
+            GatewayFixture.readUntil(clients.get(0), "[DONE]");
+            GatewayFixture.pause(REST_MS);
             gateway.signal("STOP");
             for (int i = 0; i < 7; i++) {
                 if (i > 0) clients.add(new Socket("127.0.0.1", port));
                 recordSent("s" + i);
                 write(clients.get(i), request("s" + i));
             }
-            World.pass(STOP_MS);
+            GatewayFixture.pause(STOP_MS);
             gateway.signal("CONT");
-            for (Socket client : clients) World.readUntil(client, "HTTP/1.1 ");
+            for (Socket client : clients) GatewayFixture.readUntil(client, "HTTP/1.1 ");
             for (Socket client : clients) client.close();
         });
     }
@@ -155,7 +155,7 @@
                 recordSent("c" + i);
                 write(clients.get(i), request("c" + i));
             }
-            for (Socket client : clients) World.readUntil(client, "HTTP/1.1 ");
+            for (Socket client : clients) GatewayFixture.readUntil(client, "HTTP/1.1 ");
             for (Socket client : clients) client.close();
         });
     }
@@ -170,7 +170,7 @@
             }
             try (Socket client = new Socket("127.0.0.1", port)) {
                 write(client, all.toString());
-                for (int i = 0; i < PIPELINED; i++) World.readUntil(client, "HTTP/1.1 ");
+                for (int i = 0; i < PIPELINED; i++) GatewayFixture.readUntil(client, "HTTP/1.1 ");
             }
         });
     }
--- a/src/test/java/maplerail/cli/DeclinedWriteIT.java
+++ b/src/test/java/maplerail/cli/DeclinedWriteIT.java
@@ -9,7 +9,7 @@
 import maplerail.support.GatewayProgram;
 import maplerail.support.SilentReader;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -42,7 +42,7 @@
                 exchange.reply(204, "");
                 return;
             }
-            reader.times.out(id(exchange));
+            reader.times.attemptInFlight(id(exchange));
             reader.times.declined(id(exchange));
             exchange.write(firstText);
             while (!testEnded.await(PIECE_INTERVAL_MS, TimeUnit.MILLISECONDS)) exchange.write(piece);
@@ -52,12 +52,12 @@
     private void assertReleasedInTime(String firstText, String piece, String kind) throws Exception {
         try (SilentReader reader = new SilentReader(SilentReader::answer);
                 StandIn writer = writer(reader, firstText.replace("|", "\r\n"), piece);
-                World world = new World().engine("r", "prefill", reader.address(), "in_service").engine("w", "decode",
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader.address(), "in_service").engine("w", "decode",
                         writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
-            CompletableFuture.runAsync(() -> gateway.say(World.request("a1", kind, LONG_DEADLINE_S)));
-            reader.times.assertLetGoInTime("a1");
+            CompletableFuture.runAsync(() -> gateway.exchange(GatewayFixture.request("a1", kind, LONG_DEADLINE_S)));
+            reader.times.assertReleasedInTime("a1");
         }
     }
 
--- a/src/test/java/maplerail/cli/FinalAnswerIT.java
+++ b/src/test/java/maplerail/cli/FinalAnswerIT.java
@@ -14,7 +14,7 @@
 import maplerail.support.FullBacklog;
 import maplerail.support.GatewayProgram;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -46,11 +46,11 @@
     private record StuckAnswer(String firstText, String piece) {
         void handle(StandIn.Exchange x) throws Exception {
             x.write(firstText);
-            while (!piece.isEmpty() && !x.isEnded()) {
+            while (!piece.isEmpty() && !x.isClosedByPeer()) {
                 x.write(piece);
                 TimeUnit.MILLISECONDS.sleep(PIECE_INTERVAL_MS);
             }
-            x.awaitEnd();
+            x.awaitClose();
         }
     }
 
@@ -103,9 +103,9 @@
     private static Outcome send(int port, String id, String kind, double deadlineS) {
         try (Socket client = new Socket("127.0.0.1", port)) {
             double sentMs = nowMs();
-            client.getOutputStream().write(World.request(id, kind, String.valueOf(deadlineS))
+            client.getOutputStream().write(GatewayFixture.request(id, kind, String.valueOf(deadlineS))
                     .replaceFirst("\r\n", "\r\nConnection: close\r\n").getBytes(StandardCharsets.UTF_8));
-            String answer = World.readAll(client.getInputStream());
+            String answer = GatewayFixture.readAll(client.getInputStream());
             return new Outcome(answer.lines().findFirst().orElse("none"), nowMs() - sentMs - 1_000 * deadlineS);
         } catch (IOException e) {
             return new Outcome(e.toString(), Double.NaN);
@@ -146,7 +146,7 @@
     private void assertAnsweredInTime(StandIn.Handler reader, StandIn.Handler writer) throws Exception {
         try (StandIn reads = engine(reader);
                 StandIn writes = engine(writer);
-                World world = new World().engine("r", "prefill", reads).engine("w", "decode", writes);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             assertInTime(sendAll(gateway.readyPort()), gateway);
         }
@@ -173,7 +173,7 @@
     void aRequestWhoseWriterAcceptsNoConnectionGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
                 FullBacklog writer = new FullBacklog();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer.address(),
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer.address(),
                         "in_service");
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             assertInTime(sendAll(gateway.readyPort()), gateway);
@@ -183,8 +183,8 @@
     @Test
     void aRequestWithoutAWriterGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer, "terminating");
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer, "terminating");
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             assertInTime(sendAll(gateway.readyPort()), gateway);
         }
@@ -195,12 +195,12 @@
     void aRequestSentWhileTheProcessIsStoppedGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
                 StandIn writer = engine(NO_ANSWER::handle);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             int port = gateway.readyPort();
             gateway.signal("STOP");
             Map<String, CompletableFuture<Outcome>> outcomes = sendAll(port);
-            World.pass(STOP_MS);
+            GatewayFixture.pause(STOP_MS);
             gateway.signal("CONT");
             assertInTime(outcomes, gateway);
         }
--- a/src/test/java/maplerail/cli/LostReadIT.java
+++ b/src/test/java/maplerail/cli/LostReadIT.java
@@ -15,7 +15,7 @@
 import maplerail.support.GatewayProgram;
 import maplerail.support.SilentReader;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -36,20 +36,20 @@
     @TempDir
     Path folder;
 
-    private GatewayProgram gateway(World world) throws Exception {
+    private GatewayProgram gateway(GatewayFixture world) throws Exception {
         GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"));
         gateway.readyPort();
         return gateway;
     }
 
-    private static World world(StandIn writer, SilentReader... readers) throws Exception {
-        World world = new World().engine("w", "decode", writer);
+    private static GatewayFixture world(StandIn writer, SilentReader... readers) throws Exception {
+        GatewayFixture world = new GatewayFixture().engine("w", "decode", writer);
         for (int i = 0; i < readers.length; i++) world.engine("r" + i, "prefill", readers[i].address(), "in_service");
         return world;
     }
 
     private static CompletableFuture<String> send(GatewayProgram gateway, String id, String kind) {
-        return CompletableFuture.supplyAsync(() -> gateway.say(World.request(id, kind, LONG_DEADLINE_S)));
+        return CompletableFuture.supplyAsync(() -> gateway.exchange(GatewayFixture.request(id, kind, LONG_DEADLINE_S)));
     }
 
     /** The state must be released however many releases arrived before the reader held it. */
@@ -57,12 +57,12 @@
     @CsvSource({"0, lookup", "300, lookup", "600, lookup", "1100, lookup", "0, repair-order", "300, repair-order",
             "600, repair-order", "1100, repair-order"})
     void aStateWhoseReadIsNeverAnsweredIsLetGoInTime(int readMs, String kind) throws Exception {
-        try (SilentReader reader = new SilentReader((r, read) -> r.lose(read, readMs, ""));
-                StandIn writer = World.writer();
-                World world = world(writer, reader);
+        try (SilentReader reader = new SilentReader((r, read) -> r.loseAnswer(read, readMs, ""));
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = world(writer, reader);
                 GatewayProgram gateway = gateway(world)) {
             send(gateway, "a1", kind);
-            reader.times.assertLetGoInTime("a1");
+            reader.times.assertReleasedInTime("a1");
         }
     }
 
@@ -74,20 +74,20 @@
         try (SilentReader reader = new SilentReader((r, read) -> {
             if (id(read).equals("a1")) {
                 r.silenceConnections();
-                r.lose(read, readMs, "");
+                r.loseAnswer(read, readMs, "");
             }
             allReadsStarted.await();
             r.answer(read);
         });
-                StandIn writer = World.writer();
-                World world = world(writer, reader);
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = world(writer, reader);
                 GatewayProgram gateway = gateway(world)) {
             CompletableFuture<?>[] warm = new CompletableFuture<?>[KEPT_CONNECTIONS];
             for (int i = 0; i < warm.length; i++) warm[i] = send(gateway, "warm" + i, "lookup");
             CompletableFuture.allOf(warm).get(TEST_TIMEOUT_S, TimeUnit.SECONDS);
             assertThat(reader.connections()).isGreaterThanOrEqualTo(KEPT_CONNECTIONS);
             send(gateway, "a1", "repair-order");
-            reader.times.assertLetGoInTime("a1");
+            reader.times.assertReleasedInTime("a1");
         }
     }
 
@@ -95,20 +95,20 @@
     private static StandIn fetchingWriter(SilentReader reader) throws Exception {
         return new StandIn(exchange -> {
             if (exchange.method.equals("POST")) reader.times.taken(id(exchange));
-            exchange.stream();
+            exchange.startStream();
             exchange.chunk("data: [DONE]\n\n");
-            exchange.last();
+            exchange.endStream();
         });
     }
 
     /** The reader sends part of its answer once it holds the state. */
     private void assertReleasedInTimeAfterPartOfAnswer(String partOfAnswer) throws Exception {
-        try (SilentReader reader = new SilentReader((r, read) -> r.lose(read, 300, partOfAnswer));
+        try (SilentReader reader = new SilentReader((r, read) -> r.loseAnswer(read, 300, partOfAnswer));
                 StandIn writer = fetchingWriter(reader);
-                World world = world(writer, reader);
+                GatewayFixture world = world(writer, reader);
                 GatewayProgram gateway = gateway(world)) {
             send(gateway, "a1", "repair-order");
-            reader.times.assertLetGoInTime("a1");
+            reader.times.assertReleasedInTime("a1");
         }
     }
 
@@ -133,18 +133,18 @@
         try (SilentReader reader = new SilentReader((r, read) -> {
             reading.countDown();
             disconnected.await();
-            r.lose(read, readMs, "");
+            r.loseAnswer(read, readMs, "");
         });
-                StandIn writer = World.writer();
-                World world = world(writer, reader);
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = world(writer, reader);
                 GatewayProgram gateway = gateway(world)) {
             Socket client = new Socket("127.0.0.1", gateway.port());
             client.getOutputStream()
-                    .write(World.request("a1", "lookup", LONG_DEADLINE_S).getBytes(StandardCharsets.UTF_8));
+                    .write(GatewayFixture.request("a1", "lookup", LONG_DEADLINE_S).getBytes(StandardCharsets.UTF_8));
             assertThat(reading.await(TEST_TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
             client.close();
             disconnected.countDown();
-            reader.times.assertLetGoInTime("a1");
+            reader.times.assertReleasedInTime("a1");
         }
     }
 
@@ -168,22 +168,22 @@
     @ValueSource(ints = {0, 300, 600, 1100, 2000})
     void aStateIsReleasedInTimeThoughTheRequestMayBeRetriedAtAnotherReader(int readMs) throws Exception {
         Set<String> lost = ConcurrentHashMap.newKeySet();
-        SilentReader.Reading loseOnce = (reader, read) -> {
-            if (id(read).equals("a1") && lost.add(id(read))) reader.lose(read, readMs, "");
+        SilentReader.ReadHandler loseOnce = (reader, read) -> {
+            if (id(read).equals("a1") && lost.add(id(read))) reader.loseAnswer(read, readMs, "");
             reader.answer(read);
         };
         try (SilentReader one = new SilentReader(loseOnce);
                 SilentReader other = new SilentReader(loseOnce);
-                StandIn writer = World.writer();
-                World world = world(writer, one, other);
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = world(writer, one, other);
                 GatewayProgram gateway = gateway(world)) {
             for (int i = 0; i < WARM_REQUESTS; i++) {
                 assertThat(send(gateway, "warm" + i, "lookup").get(TEST_TIMEOUT_S, TimeUnit.SECONDS))
                         .contains("[DONE]");
             }
             send(gateway, "a1", "lookup");
-            World.await("lost", () -> one.lost("a1") || other.lost("a1"));
-            (one.lost("a1") ? one : other).times.assertLetGoInTime("a1");
+            GatewayFixture.await("lost", () -> one.isAnswerLost("a1") || other.isAnswerLost("a1"));
+            (one.isAnswerLost("a1") ? one : other).times.assertReleasedInTime("a1");
         }
     }
 }
--- a/src/test/java/maplerail/cli/ReleaseOutOfReachIT.java
+++ b/src/test/java/maplerail/cli/ReleaseOutOfReachIT.java
@@ -7,7 +7,7 @@
 import maplerail.support.GatewayProgram;
 import maplerail.support.HeldTimes;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -28,10 +28,10 @@
     private StandIn unreachableReader() throws Exception {
         return new StandIn(exchange -> {
             if (exchange.method.equals("DELETE")) {
-                exchange.awaitEnd();
+                exchange.awaitClose();
                 return;
             }
-            times.out(id(exchange));
+            times.attemptInFlight(id(exchange));
             times.held(id(exchange));
             exchange.reply(202, "{\"cached_tokens\":0}");
         });
@@ -49,8 +49,8 @@
                 release(exchange);
                 return;
             }
-            times.out(id(exchange));
-            exchange.awaitEnd();
+            times.attemptInFlight(id(exchange));
+            exchange.awaitClose();
             times.declined(id(exchange));
         });
     }
@@ -63,11 +63,11 @@
     void aStateIsLetGoInTimeThoughItsReaderIsOutOfReachOnceItsRequestIsOver(String kind) throws Exception {
         try (StandIn reader = unreachableReader();
                 StandIn writer = queueingWriter();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
-            CompletableFuture.runAsync(() -> gateway.say(World.request("a1", kind, DEADLINE_S)));
-            times.assertLetGoInTime("a1");
+            CompletableFuture.runAsync(() -> gateway.exchange(GatewayFixture.request("a1", kind, DEADLINE_S)));
+            times.assertReleasedInTime("a1");
         }
     }
 }
--- a/src/test/java/maplerail/cli/SlowEngineIT.java
+++ b/src/test/java/maplerail/cli/SlowEngineIT.java
@@ -1,6 +1,6 @@
 package maplerail.cli;
 
-import static maplerail.support.World.await;
+import static maplerail.support.GatewayFixture.await;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.Socket;
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import maplerail.support.GatewayProgram;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -45,13 +45,13 @@
         });
     }
 
-    private static String config(World world) {
+    private static String config(GatewayFixture world) {
         String config = world.config("127.0.0.1:0");
         assertThat(config).contains("\"pinLimitMs\":500.0");
         return config.replace("\"pinLimitMs\":500.0", "\"pinLimitMs\":250.0");
     }
 
-    private GatewayProgram gateway(World world) throws Exception {
+    private GatewayProgram gateway(GatewayFixture world) throws Exception {
         GatewayProgram gateway = GatewayProgram.serve(folder, config(world));
         gateway.readyPort();
         return gateway;
@@ -64,9 +64,9 @@
     private void assertServed(StandIn.Handler reader, StandIn.Handler writer) throws Exception {
         try (StandIn reads = engine(reader);
                 StandIn writes = engine(writer);
-                World world = new World().engine("r", "prefill", reads).engine("w", "decode", writes);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
                 GatewayProgram gateway = gateway(world)) {
-            String answer = gateway.say(World.request("a1", "repair-order", "6.0"));
+            String answer = gateway.exchange(GatewayFixture.request("a1", "repair-order", "6.0"));
             assertThat(answer).as(gateway.log()).startsWith("HTTP/1.1 200").contains("slowly").contains("[DONE]")
                     .endsWith("\r\n0\r\n\r\n");
             assertThat(writes.count("POST")).isEqualTo(1);
@@ -79,7 +79,7 @@
 
     private static void finish(StandIn.Exchange x) throws Exception {
         x.chunk("data: [DONE]\n\n");
-        x.last();
+        x.endStream();
     }
 
     @ParameterizedTest
@@ -87,7 +87,7 @@
     void aStreamThatArrivesByteByByteIsPassedOnToItsEnd(int spanMs) throws Exception {
         assertServed(SlowEngineIT::read, x -> {
             x.write(HEAD);
-            x.drip(CHUNK, spanMs);
+            x.writeSlowly(CHUNK, spanMs);
             finish(x);
         });
     }
@@ -96,7 +96,7 @@
     @ValueSource(ints = {400, 2_000})
     void aStreamThatPausesWithinAChunkIsPassedOnToItsEnd(int pauseMs) throws Exception {
         assertServed(SlowEngineIT::read, x -> {
-            x.stream();
+            x.startStream();
             x.chunk(EVENT);
             x.write(CHUNK.substring(0, 20));
             TimeUnit.MILLISECONDS.sleep(pauseMs);
@@ -109,7 +109,7 @@
     @ValueSource(ints = {300, 1_200})
     void aWriterWhoseHeadArrivesByteByByteServes(int spanMs) throws Exception {
         assertServed(SlowEngineIT::read, x -> {
-            x.drip(HEAD, spanMs);
+            x.writeSlowly(HEAD, spanMs);
             x.chunk(EVENT);
             finish(x);
         });
@@ -118,8 +118,8 @@
     @ParameterizedTest
     @ValueSource(ints = {300, 1_200})
     void aReaderWhoseAnswerArrivesByteByByteReads(int spanMs) throws Exception {
-        assertServed(x -> x.drip(READ, spanMs), x -> {
-            x.stream();
+        assertServed(x -> x.writeSlowly(READ, spanMs), x -> {
+            x.startStream();
             x.chunk(EVENT);
             finish(x);
         });
@@ -131,17 +131,17 @@
         AtomicReference<Double> stalledMs = new AtomicReference<>();
         try (StandIn reads = engine(SlowEngineIT::read);
                 StandIn writes = engine(x -> {
-                    x.stream();
+                    x.startStream();
                     x.chunk(EVENT);
                     x.write(CHUNK.substring(0, 20));
                     stalledMs.set(nowMs());
-                    x.awaitEnd();
+                    x.awaitClose();
                 });
-                World world = new World().engine("r", "prefill", reads).engine("w", "decode", writes);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
                 GatewayProgram gateway = gateway(world);
                 Socket client = new Socket("127.0.0.1", gateway.port())) {
-            client.getOutputStream().write(World.request("a1", "repair-order", "6.0").getBytes());
-            String answer = World.readAll(client.getInputStream());
+            client.getOutputStream().write(GatewayFixture.request("a1", "repair-order", "6.0").getBytes());
+            String answer = GatewayFixture.readAll(client.getInputStream());
             assertThat(nowMs() - stalledMs.get()).isLessThan(END_TIMEOUT_MS);
             assertThat(answer).startsWith("HTTP/1.1 200").contains("slowly").doesNotContain("\r\n0\r\n\r\n");
         }
@@ -170,12 +170,12 @@
                 return;
             }
             x.write("HTTP/1.1 202 Accepted\r\n" + partOfAnswer);
-            x.awaitEnd();
+            x.awaitClose();
         });
                 StandIn writes = engine(x -> x.reply(500, ""));
-                World world = new World().engine("r", "prefill", reads).engine("w", "decode", writes);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
                 GatewayProgram gateway = gateway(world)) {
-            assertThat(gateway.say(World.request("a1", "repair-order", "2.0"))).startsWith("HTTP/1.1 ");
+            assertThat(gateway.exchange(GatewayFixture.request("a1", "repair-order", "2.0"))).startsWith("HTTP/1.1 ");
             await("released", () -> reads.count("DELETE") > 0);
             for (int i = 1; i < callTimesMs.size(); i++) {
                 double heldMs = callTimesMs.get(i) - callTimesMs.get(i - 1);
--- a/src/test/java/maplerail/discovery/PlatformWatchTest.java
+++ b/src/test/java/maplerail/discovery/PlatformWatchTest.java
@@ -1,8 +1,8 @@
 package maplerail.discovery;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.request;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.request;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.Socket;
@@ -16,7 +16,7 @@
 import maplerail.config.NodeConfig;
 import maplerail.core.Lifecycle.Phase;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 
 class PlatformWatchTest {
@@ -27,15 +27,15 @@
     @Test
     void refusedWatchContinuesFromTheKnownListAndBacksOff() throws Exception {
         List<Long> atNanos = new CopyOnWriteArrayList<>();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     atNanos.add(System.nanoTime());
                     if (atNanos.size() > 1) x.reply(503, "overloaded");
                     else x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
-                        .discoveredBy(agent)) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .withDiscovery(agent)) {
             world.start();
             await("repeated calls", () -> atNanos.size() >= 4);
             assertThat(agent.seen.subList(1, 4)).allMatch(seen -> seen.startsWith("GET /api/targets?index=7&"));
@@ -47,19 +47,19 @@
     @Test
     void invalidListIsIgnoredAndRequestedAgain() throws Exception {
         AtomicInteger requestCount = new AtomicInteger();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     switch (requestCount.incrementAndGet()) {
                         case 1 -> x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":");
                         case 2 -> x.reply(200, "{\"seq\":-7,\"whole\":true,\"hosts\":[]}");
                         case 3 -> x.reply(200, "[]");
                         case 4 -> x.reply(200, "{\"whole\":true,\"hosts\":[]}");
-                        default -> x.awaitEnd();
+                        default -> x.awaitClose();
                     }
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
-                        .discoveredBy(agent)) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .withDiscovery(agent)) {
             world.start();
             await("called again", () -> requestCount.get() >= 5);
             assertThat(agent.seen.subList(1, 5)).as("requests for the whole list").containsOnly("GET /api/targets");
@@ -71,15 +71,15 @@
     @Test
     void silentCallIsReplacedBeforeMissedChangesCountAsKnown() throws Exception {
         List<Long> atNanos = new CopyOnWriteArrayList<>();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     atNanos.add(System.nanoTime());
-                    if (atNanos.size() > 1) x.awaitEnd();
+                    if (atNanos.size() > 1) x.awaitClose();
                     else x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
-                        .discoveredBy(agent)) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .withDiscovery(agent)) {
             world.start();
             await("called on a new connection", () -> atNanos.size() >= 3);
             assertThat(atNanos.get(2) - atNanos.get(1)).isLessThan(4_500_000_000L);
@@ -91,10 +91,10 @@
     void listThatKeepsArrivingIsAccepted() throws Exception {
         String list = "{\"seq\":7,\"whole\":true,\"hosts\":[]}";
         try (StandIn agent = new StandIn(x -> {
-            if (!x.target.equals("/api/targets")) x.awaitEnd();
+            if (!x.target.equals("/api/targets")) x.awaitClose();
             x.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
-            x.drip(list, 5_000);
-        }); World world = new World().discoveredBy(agent)) {
+            x.writeSlowly(list, 5_000);
+        }); GatewayFixture world = new GatewayFixture().withDiscovery(agent)) {
             String unknown = world.config("127.0.0.1:0").replaceFirst("\"known\":\\{.*?\\]\\},", "");
             assertThat(unknown).doesNotContain("known");
             Gateway gateway = new Gateway(NodeConfig.read(unknown, Map.of()), null);
@@ -115,13 +115,13 @@
         AtomicInteger requestCount = new AtomicInteger();
         try (StandIn agent = new StandIn(x -> {
             if (requestCount.incrementAndGet() > 1) {
-                x.awaitEnd();
+                x.awaitClose();
                 return;
             }
             x.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            x.drip(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n0\r\n\r\n", 1_000);
-        }); World world = new World().discoveredBy(agent)) {
-            world.begin();
+            x.writeSlowly(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n0\r\n\r\n", 1_000);
+        }); GatewayFixture world = new GatewayFixture().withDiscovery(agent)) {
+            world.startWithoutWaiting();
             await("called again", () -> requestCount.get() > 1);
             assertThat(agent.seen.get(1)).startsWith("GET /api/targets?index=7&");
         }
@@ -135,8 +135,8 @@
             atNanos.add(System.nanoTime());
             if (atNanos.size() == 1) x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
             else x.write("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"seq\":9,");
-            if (atNanos.size() > 1) x.awaitEnd();
-        }); World world = new World().discoveredBy(agent)) {
+            if (atNanos.size() > 1) x.awaitClose();
+        }); GatewayFixture world = new GatewayFixture().withDiscovery(agent)) {
             world.start();
             await("called on a new connection", () -> atNanos.size() >= 3);
             assertThat(atNanos.get(2) - atNanos.get(1)).isLessThan(4_500_000_000L);
@@ -146,9 +146,9 @@
     /** All nodes restart at once in a rollout, and each whole list takes capacity of an overloaded discovery. */
     @Test
     void nodeContinuesFromItsKnownList() throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)) {
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)) {
             world.start();
             await("first call", () -> world.discovery().seen.size() > 0);
             assertThat(world.discovery().seen.get(0)).startsWith("GET /api/targets?index=3&");
@@ -158,17 +158,17 @@
     /** With pushed lists, what the agent holds counts as known before the first request arrives. */
     @Test
     void nodeIsNotReadyOnAnOldListBeforeItsAgentConfirmsIt() throws Exception {
-        BlockingQueue<StandIn.Exchange> firstRequests = World.queue();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                StandIn other = World.writer();
+        BlockingQueue<StandIn.Exchange> firstRequests = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                StandIn other = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     if (x.target.endsWith("wait=0")) firstRequests.add(x);
-                    else x.awaitEnd();
+                    else x.awaitClose();
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer)
-                        .engine("w2", "decode", other).discoveredBy(agent)) {
-            world.begin();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer)
+                        .engine("w2", "decode", other).withDiscovery(agent)) {
+            world.startWithoutWaiting();
             StandIn.Exchange firstRequest = take(firstRequests);
             assertThat(world.gateway.phase()).isEqualTo(Phase.STARTING);
             Socket client = world.connect();
@@ -181,7 +181,7 @@
             await("ready", () -> world.gateway.phase() == Phase.READY);
             String closingRequest = ready.replaceFirst("\r\n", "\r\nConnection: close\r\n");
             client.getOutputStream().write(closingRequest.getBytes(StandardCharsets.UTF_8));
-            assertThat(World.readAll(client.getInputStream())).as("the early connection stays open")
+            assertThat(GatewayFixture.readAll(client.getInputStream())).as("the early connection stays open")
                     .contains("HTTP/1.1 200");
             client.close();
             for (int i = 0; i < 10; i++) {
@@ -197,17 +197,17 @@
      */
     @Test
     void requestBeforeTheFirstAgentResponseWaitsForTheList() throws Exception {
-        BlockingQueue<StandIn.Exchange> firstRequests = World.queue();
-        try (StandIn draining = World.reader();
-                StandIn started = World.reader();
-                StandIn writer = World.writer();
+        BlockingQueue<StandIn.Exchange> firstRequests = GatewayFixture.queue();
+        try (StandIn draining = GatewayFixture.reader();
+                StandIn started = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     if (x.target.endsWith("wait=0")) firstRequests.add(x);
-                    else x.awaitEnd();
+                    else x.awaitClose();
                 });
-                World world = new World().engine("r1", "prefill", draining).engine("w", "decode", writer)
-                        .discoveredBy(agent)) {
-            world.begin();
+                GatewayFixture world = new GatewayFixture().engine("r1", "prefill", draining).engine("w", "decode", writer)
+                        .withDiscovery(agent)) {
+            world.startWithoutWaiting();
             StandIn.Exchange firstRequest = take(firstRequests);
             try (Socket client = world.connect()) {
                 String closingRequest = request("a1", "lookup", "5.0").replaceFirst("\r\n",
@@ -217,7 +217,7 @@
                 firstRequest.reply(200,
                         "{\"seq\":9,\"whole\":false,\"hosts\":[" + host("r1", draining, "terminating") + ","
                                 + host("r2", started, "in_service") + "]}");
-                assertThat(World.readAll(client.getInputStream())).startsWith("HTTP/1.1 200");
+                assertThat(GatewayFixture.readAll(client.getInputStream())).startsWith("HTTP/1.1 200");
             }
             assertThat(draining.count("POST")).isZero();
         }
@@ -232,16 +232,16 @@
     @Test
     void olderListIsRejectedAfterASwitchOfAgents() throws Exception {
         AtomicInteger requestCount = new AtomicInteger();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                StandIn other = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer, "terminating")
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                StandIn other = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer, "terminating")
                         .engine("w2", "decode", other);
                 StandIn agent = new StandIn(x -> x.reply(200, requestCount.incrementAndGet() > 3
                         ? "{\"seq\":9,\"whole\":false,\"hosts\":[]}"
                         : "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"w1\",\"dial\":\"" + writer.address()
                                 + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"in_service\"}]}"));
-                World otherWorld = new World().discoveredBy(agent)) {
+                GatewayFixture otherWorld = new GatewayFixture().withDiscovery(agent)) {
             world.start();
             await("the first list received", () -> world.discovery().count("GET /api/targets?index=") > 0);
             world.gateway.reload(NodeConfig.read(otherWorld.config("127.0.0.1:0"), Map.of()));
--- a/src/test/java/maplerail/front/ClientListenerTest.java
+++ b/src/test/java/maplerail/front/ClientListenerTest.java
@@ -1,8 +1,8 @@
 package maplerail.front;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.request;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.request;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -20,7 +20,7 @@
 import maplerail.core.ServiceCounters;
 import maplerail.net.XnioLoop;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.xnio.ChannelListeners;
 import org.xnio.OptionMap;
@@ -42,7 +42,7 @@
     private static final double ANSWER_SLACK_MS = 500; // past the deadline, after which an answer counts as missing
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-    private static Socket send(World world, String text) throws Exception {
+    private static Socket send(GatewayFixture world, String text) throws Exception {
         Socket socket = world.connect();
         socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
@@ -51,14 +51,14 @@
 
     @Test
     void silentAndIncompleteClientsAreClosedButWaitingOnesAreNot() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
         String fullRequest = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
-            x.stream();
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
+            x.startStream();
             x.chunk("data: one\n\n");
             streams.add(x);
         });
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket complete = send(world, fullRequest);
                 Socket silent = send(world, "");
                 Socket incompleteHead = send(world, "POST / HTTP/1.1\r\nReq-");
@@ -66,11 +66,11 @@
                         fullRequest.substring(0, fullRequest.length() - 3))) {
             StandIn.Exchange open = take(streams);
             assertThat(silent.getInputStream().read()).isNegative();
-            assertThat(World.readAll(incompleteHead.getInputStream())).startsWith("HTTP/1.1 408");
-            assertThat(World.readAll(incompleteBody.getInputStream())).startsWith("HTTP/1.1 408");
+            assertThat(GatewayFixture.readAll(incompleteHead.getInputStream())).startsWith("HTTP/1.1 408");
+            assertThat(GatewayFixture.readAll(incompleteBody.getInputStream())).startsWith("HTTP/1.1 408");
             open.chunk("data: two\n\n");
-            open.last();
-            assertThat(World.readAll(complete.getInputStream())).contains("data: one\n\n").endsWith("\r\n0\r\n\r\n");
+            open.endStream();
+            assertThat(GatewayFixture.readAll(complete.getInputStream())).contains("data: one\n\n").endsWith("\r\n0\r\n\r\n");
             assertThat(writer.count("POST")).isEqualTo(1);
         }
     }
@@ -78,9 +78,9 @@
     /** An incomplete request that was pipelined after a complete one gets the same timeout as any other. */
     @Test
     void incompletePipelinedRequestTimesOut() throws Exception {
-        try (World world = new World().start(); Socket client = send(world, READY + "POST / HTTP/1.1\r\nReq-")) {
+        try (GatewayFixture world = new GatewayFixture().start(); Socket client = send(world, READY + "POST / HTTP/1.1\r\nReq-")) {
             long startNanos = System.nanoTime();
-            String output = World.readAll(client.getInputStream());
+            String output = GatewayFixture.readAll(client.getInputStream());
             assertThat(System.nanoTime() - startNanos).as("time until the connection is closed, limited by TERMS")
                     .isLessThan(3_000_000_000L);
             assertThat(output).startsWith("HTTP/1.1 200").contains("HTTP/1.1 408");
@@ -92,16 +92,16 @@
     void requestWithASlowButSteadyBodyIsServed() throws Exception {
         String fullRequest = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
         int body = fullRequest.indexOf("\r\n\r\n") + 4;
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = send(world, fullRequest.substring(0, body))) {
             for (int i = body; i < fullRequest.length(); i++) {
                 long startNanos = System.nanoTime();
                 await("some time later", () -> System.nanoTime() - startNanos > 250_000_000L);
                 client.getOutputStream().write(fullRequest.charAt(i));
             }
-            assertThat(World.readAll(client.getInputStream())).startsWith("HTTP/1.1 200").contains("[DONE]");
+            assertThat(GatewayFixture.readAll(client.getInputStream())).startsWith("HTTP/1.1 200").contains("[DONE]");
         }
     }
 
@@ -112,7 +112,7 @@
     @Test
     void requestThatArrivedWhileTheLoopWasStalledIsNotLost() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        BlockingQueue<String> received = World.queue();
+        BlockingQueue<String> received = GatewayFixture.queue();
         try {
             XnioLoop loop = new XnioLoop(worker.getIoThread());
             ClientListener listener = new ClientListener(connection -> {
@@ -156,16 +156,16 @@
     void idleClientsLeaveRoomForRequestsEnginesAndDiscovery() throws Exception {
         List<Socket> idle = new ArrayList<>();
         CountDownLatch discoveryBack = new CountDownLatch(1);
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                StandIn other = World.writer();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                StandIn other = GatewayFixture.writer();
                 StandIn agent = new StandIn(x -> {
                     discoveryBack.await();
                     x.reply(200, "{\"seq\":9,\"whole\":false,\"hosts\":[{\"host\":\"w1\",\"dial\":\"" + writer.address()
                             + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"terminating\"}]}");
                 });
-                World world = new World().sockets(128).engine("r", "prefill", reader).engine("w1", "decode", writer)
-                        .engine("w2", "decode", other).discoveredBy(agent).start()) {
+                GatewayFixture world = new GatewayFixture().sockets(128).engine("r", "prefill", reader).engine("w1", "decode", writer)
+                        .engine("w2", "decode", other).withDiscovery(agent).start()) {
             for (int i = 0; i < 300; i++) idle.add(world.connect());
             discoveryBack.countDown();
             await("discovery is asked for changes", () -> agent.count("GET /api/targets?index=9&") > 0);
@@ -199,7 +199,7 @@
     @Test
     void aWaitForAPlaceIsChargedToTheRequest() throws Exception {
         Map<String, Double> deadlineMs = new ConcurrentHashMap<>();
-        BlockingQueue<Double> excessMs = World.queue();
+        BlockingQueue<Double> excessMs = GatewayFixture.queue();
         AtomicBoolean stop = new AtomicBoolean();
         try (StandIn reader = new StandIn(x -> {
             if (x.method.equals("POST")) {
@@ -208,15 +208,15 @@
             }
             x.reply(x.method.equals("POST") ? 202 : 204, "{\"cached_tokens\":0}");
         });
-                StandIn writer = World.writer();
-                World world = new World().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
                         .start()) {
             List<Thread> threads = new ArrayList<>();
             for (int i = 0; i < INCOMPLETE_CLIENTS; i++) threads.add(reconnectUntil(world, stop));
             for (int i = 0; i < REQUESTS; i++) {
                 deadlineMs.put("a" + i, System.nanoTime() / 1e6 + BUDGET_MS);
                 try (Socket client = send(world, request("a" + i, "lookup", "" + BUDGET_MS / 1_000))) {
-                    World.readUntil(client, "HTTP/1.1 ");
+                    GatewayFixture.readUntil(client, "HTTP/1.1 ");
                 }
             }
             stop.set(true);
@@ -227,11 +227,11 @@
     }
 
     /** Starts a client that connects, sends half a request, stays until it is closed, and starts again. */
-    private static Thread reconnectUntil(World world, AtomicBoolean stop) {
+    private static Thread reconnectUntil(GatewayFixture world, AtomicBoolean stop) {
         Thread thread = new Thread(() -> {
             while (!stop.get()) {
                 try (Socket socket = send(world, "POST / HTTP/1.1\r\nReq-")) {
-                    World.readAll(socket.getInputStream());
+                    GatewayFixture.readAll(socket.getInputStream());
                 } catch (Exception e) {
                     return; // the test is over
                 }
@@ -244,14 +244,14 @@
     /** Returns how long a request takes that is sent after many clients have connected and have each sent a text. */
     private static double answerTimeMs(int clientCount, String text) throws Exception {
         List<Socket> clients = new ArrayList<>();
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
                         .start()) {
             for (int i = 0; i < clientCount; i++) clients.add(send(world, text));
             try (Socket client = send(world, request("a1", "lookup", BUDGET_S))) {
                 long sentNanos = System.nanoTime();
-                World.readUntil(client, "HTTP/1.1 ");
+                GatewayFixture.readUntil(client, "HTTP/1.1 ");
                 return (System.nanoTime() - sentNanos) / 1e6;
             }
         } finally {
@@ -263,12 +263,12 @@
     @Test
     void idleConnectionsAreClosedForNewOnes() throws Exception {
         List<Socket> clients = new ArrayList<>();
-        try (World world = new World().sockets(128).start()) {
+        try (GatewayFixture world = new GatewayFixture().sockets(128).start()) {
             for (int i = 0; i < 100; i++) {
                 clients.add(send(world, READY));
                 assertThat(clients.get(i).getInputStream().read()).isEqualTo('H');
             }
-            assertThat(World.readAll(clients.get(0).getInputStream())).startsWith("TTP/1.1 200");
+            assertThat(GatewayFixture.readAll(clients.get(0).getInputStream())).startsWith("TTP/1.1 200");
             Socket last = clients.get(99);
             last.getOutputStream().write(READY.getBytes(StandardCharsets.UTF_8));
             assertThat(last.getInputStream().read()).isPositive();
--- a/src/test/java/maplerail/front/PlatformTest.java
+++ b/src/test/java/maplerail/front/PlatformTest.java
@@ -1,15 +1,15 @@
 package maplerail.front;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.request;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.request;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.BlockingQueue;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -18,9 +18,9 @@
 class PlatformTest {
     @Test
     void requestGoesToReaderThenWriterAndEventsPassUnchanged() throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).startsWith("HTTP/1.1 200").contains("data: {\"a\":1}\n\n", "data: [DONE]\n\n")
                     .endsWith("0\r\n\r\n");
@@ -46,8 +46,8 @@
             POST /v1/chat/completions    | POST /-/load                     | 404
             """)
     void invalidRequestIsRejectedAndNotForwarded(String valid, String invalid, int status) throws Exception {
-        try (StandIn reader = World.reader();
-                World world = new World().engine("r", "prefill", reader).start()) {
+        try (StandIn reader = GatewayFixture.reader();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0").replace(valid, invalid));
             assertThat(answer).startsWith("HTTP/1.1 " + status);
             assertThat(reader.seen).isEmpty();
@@ -56,8 +56,8 @@
 
     @Test
     void chunkedBodyHasTheSameSizeLimit() throws Exception {
-        try (StandIn reader = World.reader();
-                World world = new World().engine("r", "prefill", reader).start();
+        try (StandIn reader = GatewayFixture.reader();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start();
                 Socket client = world.connect()) {
             String head = request("a1", "lookup", "5.0").replace("Content-Length: 15", "Transfer-Encoding: chunked")
                     .replace("{\"stream\":true}", "");
@@ -72,10 +72,10 @@
     /** A restarted gateway serves from the engine list that it last had while discovery does not answer. */
     @Test
     void knownListIsUsedWhileDiscoveryIsSilent() throws Exception {
-        try (StandIn silent = new StandIn(StandIn.Exchange::awaitEnd);
-                StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().discoveredBy(silent).engine("r", "prefill", reader)
+        try (StandIn silent = new StandIn(StandIn.Exchange::awaitClose);
+                StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().withDiscovery(silent).engine("r", "prefill", reader)
                         .engine("w", "decode", writer).start()) {
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
         }
@@ -83,9 +83,9 @@
 
     @Test
     void requestRefusedByTheModuleGetsRetryAfter() throws Exception {
-        try (World world = new World().start()) {
+        try (GatewayFixture world = new GatewayFixture().start()) {
             assertThat(world.gateway.retainedRequests()).isZero();
-            try (StandIn drained = World.reader()) {
+            try (StandIn drained = GatewayFixture.reader()) {
                 world.engine("r", "prefill", drained, "terminating");
                 await("ready", () -> status(world, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").contains(" 200 "));
                 assertThat(world.exchange(request("a1", "lookup", "0.1")))
@@ -95,7 +95,7 @@
         }
     }
 
-    private static String status(World world, String request) {
+    private static String status(GatewayFixture world, String request) {
         try {
             return world.exchange(request);
         } catch (java.io.IOException e) {
@@ -109,7 +109,7 @@
             "full,repair-order,200,2", "error,lookup,200,2", "reset,lookup,200,2"})
     void outcomeDecidesWhetherARequestIsRetried(String firstOutcome, String kind, int status, int sends)
             throws Exception {
-        BlockingQueue<String> outcomes = World.queue();
+        BlockingQueue<String> outcomes = GatewayFixture.queue();
         outcomes.add(firstOutcome);
         StandIn.Handler handler = x -> {
             if (x.method.equals("DELETE")) x.reply(204, "");
@@ -119,16 +119,16 @@
                 case "error" -> x.reply(500, "");
                 case "reset" -> x.reset();
                 default -> {
-                    x.stream();
+                    x.startStream();
                     x.chunk("data: 1\n\n");
-                    x.last();
+                    x.endStream();
                 }
             }
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
                 StandIn other = new StandIn(handler);
-                World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer)
                         .engine("w2", "decode", other).start()) {
             assertThat(world.exchange(request("a1", kind, "5.0"))).startsWith("HTTP/1.1 " + status);
             assertThat(writer.count("POST") + other.count("POST")).isEqualTo(sends);
@@ -141,13 +141,13 @@
     @Test
     void brokenStreamClosesTheConnectionWithoutALastChunk() throws Exception {
         StandIn.Handler handler = x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: 1\n\ndata: hal");
             x.reset();
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).contains("data: 1\n\n").doesNotContain("hal").doesNotContain("\r\n0\r\n");
             assertThat(writer.count("POST")).isEqualTo(1);
@@ -159,14 +159,14 @@
     @ValueSource(strings = {"", "0", "0\r\n", "0\r\n\r"})
     void streamCutWithinItsLastChunkIsIncomplete(String end) throws Exception {
         StandIn.Handler handler = x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: [DONE]\n\n");
             x.write(end);
             x.reset();
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).doesNotContain("\r\n0\r\n");
         }
     }
@@ -177,27 +177,27 @@
             "99\r\ndata: 2\n\n\r\n0\r\n\r\n"})
     void corruptStreamIsIncomplete(String corruption) throws Exception {
         StandIn.Handler handler = x -> {
-            x.stream();
+            x.startStream();
             x.chunk("data: 1\n\n");
             x.write(corruption);
-            x.awaitEnd();
+            x.awaitClose();
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).endsWith("data: 1\n\n\r\n").doesNotContain("data: 2").doesNotContain("\r\n0\r\n");
-            await("the corrupt connection is closed", () -> writer.ended() == 1);
+            await("the corrupt connection is closed", () -> writer.closedConnections() == 1);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"noise\n", "HTTP/1.1 200 OK\r\nno header\r\n\r\n", "HTTP/1.1 200 OK\r\nA: "})
     void malformedResponseHeadMeansTheAttemptMayHaveRun(String head) throws Exception {
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
             x.write(head);
-            x.awaitEnd();
-        }); World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+            x.awaitClose();
+        }); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             assertThat(world.exchange(request("a1", "repair-order", "15.0"))).startsWith("HTTP/1.1 502");
             assertThat(writer.count("POST")).isEqualTo(1);
         }
@@ -213,8 +213,8 @@
         };
         try (StandIn reader = new StandIn(rejecting);
                 StandIn other = new StandIn(rejecting);
-                StandIn writer = World.writer();
-                World world = new World().engine("r1", "prefill", reader).engine("r2", "prefill", other)
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r1", "prefill", reader).engine("r2", "prefill", other)
                         .engine("w", "decode", writer).start()) {
             for (int i = 1; i <= 10; i++) {
                 assertThat(world.exchange(request("bad" + i, "lookup", "5.0"))).startsWith("HTTP/1.1 400");
@@ -231,25 +231,25 @@
             x.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndata: 1\n\n");
             x.reset();
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).doesNotContain("\r\n0\r\n");
         }
     }
 
     @Test
     void disconnectCancelsTheAttemptAndReleasesTheState() throws Exception {
-        BlockingQueue<StandIn.Exchange> waiting = World.queue();
-        BlockingQueue<String> ended = World.queue();
+        BlockingQueue<StandIn.Exchange> waiting = GatewayFixture.queue();
+        BlockingQueue<String> ended = GatewayFixture.queue();
         StandIn.Handler silent = x -> {
             waiting.add(x);
-            x.awaitEnd();
+            x.awaitClose();
             ended.add(x.headers.get("req-id"));
         };
-        try (StandIn reader = World.reader();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(silent);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
             Socket client = world.connect();
             client.getOutputStream().write(request("a1", "repair-order", "5.0").getBytes(StandardCharsets.UTF_8));
             assertThat(Double.parseDouble(take(waiting).headers.get("req-deadline"))).isBetween(0.0, 5.0);
@@ -262,12 +262,12 @@
 
     @Test
     void drainingEngineGetsNoNewRequests() throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                StandIn other = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w1", "decode", writer)
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                StandIn other = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer)
                         .engine("w2", "decode", other).start()) {
-            BlockingQueue<String> answers = World.queue();
+            BlockingQueue<String> answers = GatewayFixture.queue();
             world.engine("w1", "decode", writer, "terminating");
             world.engine("x", "decode", writer, "terminating");
             await("the gateway stops using w1", () -> {
@@ -286,10 +286,10 @@
 
     @Test
     void pipelinedRequestIsServedNext() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        try (StandIn reader = World.reader();
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(streams::add);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = world.connect()) {
             client.getOutputStream().write(request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
             StandIn.Exchange first = take(streams);
@@ -297,7 +297,7 @@
             client.getOutputStream().write(closing.getBytes(StandardCharsets.UTF_8));
             first.reply(200, "data: one\n\n");
             take(streams).reply(200, "data: two\n\n");
-            assertThat(World.readAll(client.getInputStream())).contains("data: one\n\n", "data: two\n\n");
+            assertThat(GatewayFixture.readAll(client.getInputStream())).contains("data: one\n\n", "data: two\n\n");
         }
     }
 
@@ -305,21 +305,21 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250, 1_000})
     void pipelinedBytesDoNotDelayTheAnswer(int pipelinedBytes) throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        try (StandIn reader = World.reader();
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(streams::add);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = world.connect()) {
             client.setSoTimeout(2_000);
             String next = request("a2", "lookup", "5.0").repeat(9).substring(0, pipelinedBytes);
             client.getOutputStream().write((request("a1", "lookup", "5.0") + next).getBytes(StandardCharsets.UTF_8));
             StandIn.Exchange stream = take(streams);
-            stream.stream();
+            stream.startStream();
             stream.chunk("data: one\n\n");
-            assertThat(World.readUntil(client, "data: one\n\n")).contains("data: one\n\n");
+            assertThat(GatewayFixture.readUntil(client, "data: one\n\n")).contains("data: one\n\n");
             stream.chunk("data: [DONE]\n\n");
-            stream.last();
-            assertThat(World.readUntil(client, "\r\n0\r\n\r\n")).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
+            stream.endStream();
+            assertThat(GatewayFixture.readUntil(client, "\r\n0\r\n\r\n")).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
         }
     }
 
@@ -327,11 +327,11 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250, 1_000})
     void pipelinedBytesDoNotDelayARefusal(int pipelinedBytes) throws Exception {
-        try (World world = new World().start(); Socket client = world.connect()) {
+        try (GatewayFixture world = new GatewayFixture().start(); Socket client = world.connect()) {
             client.setSoTimeout(2_000);
             String next = request("a2", "lookup", "5.0").repeat(9).substring(0, pipelinedBytes);
             client.getOutputStream().write((request("a1", "nonsense", "5.0") + next).getBytes(StandardCharsets.UTF_8));
-            assertThat(World.readUntil(client, "Req-Kind: unknown")).startsWith("HTTP/1.1 400");
+            assertThat(GatewayFixture.readUntil(client, "Req-Kind: unknown")).startsWith("HTTP/1.1 400");
         }
     }
 
@@ -339,12 +339,12 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250})
     void pipelinedBytesDoNotDelayTheReadinessCheck(int pipelinedBytes) throws Exception {
-        try (World world = new World().start(); Socket client = world.connect()) {
+        try (GatewayFixture world = new GatewayFixture().start(); Socket client = world.connect()) {
             client.setSoTimeout(2_000);
             String next = request("a2", "lookup", "5.0").repeat(2).substring(0, pipelinedBytes);
             String ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
             client.getOutputStream().write((ready + next).getBytes(StandardCharsets.UTF_8));
-            assertThat(World.readUntil(client, "\r\n\r\n")).startsWith("HTTP/1.1 200");
+            assertThat(GatewayFixture.readUntil(client, "\r\n\r\n")).startsWith("HTTP/1.1 200");
         }
     }
 
@@ -352,15 +352,15 @@
     @ParameterizedTest
     @ValueSource(ints = {9, 1_000})
     void disconnectAfterPipelinedRequestsEndsThemAll(int requests) throws Exception {
-        BlockingQueue<StandIn.Exchange> waiting = World.queue();
-        BlockingQueue<String> ended = World.queue();
+        BlockingQueue<StandIn.Exchange> waiting = GatewayFixture.queue();
+        BlockingQueue<String> ended = GatewayFixture.queue();
         StandIn.Handler silent = x -> {
             waiting.add(x);
-            x.awaitEnd();
+            x.awaitClose();
             ended.add(x.headers.get("req-id"));
         };
         try (StandIn reader = new StandIn(silent);
-                World world = new World().engine("r", "prefill", reader).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start()) {
             try (Socket client = world.connect()) {
                 client.getOutputStream().write(request("a1", "repair-order", "60").getBytes(StandardCharsets.UTF_8));
                 take(waiting);
@@ -378,9 +378,9 @@
     @ParameterizedTest
     @ValueSource(ints = {40, 600})
     void manyPipelinedRequestsAreAnsweredInOrder(int requests) throws Exception {
-        try (StandIn reader = World.reader();
-                StandIn writer = World.writer();
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+        try (StandIn reader = GatewayFixture.reader();
+                StandIn writer = GatewayFixture.writer();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
                 Socket client = world.connect()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
@@ -388,7 +388,7 @@
             }
             all.append(request("z", "lookup", "5.0").replaceFirst("\r\n", "\r\nConnection: close\r\n"));
             client.getOutputStream().write(all.toString().getBytes(StandardCharsets.UTF_8));
-            String[] answers = World.readAll(client.getInputStream()).split("HTTP/1.1 ");
+            String[] answers = GatewayFixture.readAll(client.getInputStream()).split("HTTP/1.1 ");
             assertThat(answers).hasSize(requests + 2);
             for (int i = 0; i <= requests; i++) assertThat(answers[i + 1]).startsWith(i % 2 == 0 ? "200" : "400");
         }
@@ -396,11 +396,11 @@
 
     @Test
     void duplicateOpenRequestIdIsRejected() throws Exception {
-        BlockingQueue<StandIn.Exchange> waiting = World.queue();
+        BlockingQueue<StandIn.Exchange> waiting = GatewayFixture.queue();
         try (StandIn reader = new StandIn(x -> {
             waiting.add(x);
-            x.awaitEnd();
-        }); World world = new World().engine("r", "prefill", reader).start(); Socket first = world.connect()) {
+            x.awaitClose();
+        }); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start(); Socket first = world.connect()) {
             first.getOutputStream().write(request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
             take(waiting);
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 409");
--- a/src/test/java/maplerail/front/ToolCallTest.java
+++ b/src/test/java/maplerail/front/ToolCallTest.java
@@ -1,7 +1,7 @@
 package maplerail.front;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import maplerail.config.JsonValue;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -25,14 +25,14 @@
 
     /** A client that records the events and the final answers that it receives. */
     private static final class Client implements WebSocket.Listener {
-        final BlockingQueue<JsonValue> answers = World.queue();
-        final BlockingQueue<String> events = World.queue();
+        final BlockingQueue<JsonValue> answers = GatewayFixture.queue();
+        final BlockingQueue<String> events = GatewayFixture.queue();
         final StringBuilder buffer = new StringBuilder();
         final AtomicInteger answerCount = new AtomicInteger();
         String lastText;
         WebSocket socket;
 
-        static Client connect(World world, String team) {
+        static Client connect(GatewayFixture world, String team) {
             Client client = new Client();
             client.socket = HttpClient.newHttpClient().newWebSocketBuilder().header("Req-Owner", team)
                     .buildAsync(URI.create("ws://127.0.0.1:" + world.gateway.rpcAddress().getPort() + "/rpc"), client)
@@ -93,8 +93,8 @@
         return "\"services\":{\"records\":{\"path\":\"/tool\",\"servers\":[\"" + list + "\"]}},";
     }
 
-    private static World startWorld(StandIn... servers) throws Exception {
-        return new World().start(toolsConfig(serversJson(servers), "5000", 4, 1000));
+    private static GatewayFixture startWorld(StandIn... servers) throws Exception {
+        return new GatewayFixture().start(toolsConfig(serversJson(servers), "5000", 4, 1000));
     }
 
     private static StandIn toolServer(AtomicInteger effects) throws Exception {
@@ -106,15 +106,15 @@
 
     @Test
     void callIsAnsweredWhileAnAnswerStreamsAndItsWriterDrains() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        BlockingQueue<StandIn.Exchange> calls = World.queue();
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
-            x.stream();
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
+            x.startStream();
             x.chunk("data: one\n\n");
             streams.add(x);
         });
                 StandIn tool = new StandIn(calls::add);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
                         .start(toolsConfig(serversJson(tool), "5000", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.startAnswer(1);
@@ -130,7 +130,7 @@
             assertThat(client.nextAnswer().at("id").number()).isEqualTo(2);
             assertThat(client.lastText).contains("\"result\":{\"lamp\":1.50}");
             stream.chunk("data: [DONE]\n\n");
-            stream.last();
+            stream.endStream();
             assertThat(client.nextAnswer().at("id").number()).isEqualTo(1);
             assertThat(client.answerCount).hasValue(2);
             assertThat(tool.count("POST /tool")).isEqualTo(1);
@@ -140,15 +140,15 @@
 
     @Test
     void failedWriterFailsTheAnswerButNotTheCall() throws Exception {
-        BlockingQueue<StandIn.Exchange> streams = World.queue();
-        BlockingQueue<StandIn.Exchange> calls = World.queue();
-        try (StandIn reader = World.reader(); StandIn writer = new StandIn(x -> {
-            x.stream();
+        BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
+        BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
+        try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
+            x.startStream();
             x.chunk("data: one\n\n");
             streams.add(x);
         });
                 StandIn tool = new StandIn(calls::add);
-                World world = new World().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
                         .start(toolsConfig(serversJson(tool), "5000", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.startAnswer(1);
@@ -166,15 +166,15 @@
     @Test
     void disconnectDuringAReplyLeavesNoState() throws Exception {
         AtomicInteger effects = new AtomicInteger();
-        BlockingQueue<StandIn.Exchange> calls = World.queue();
-        BlockingQueue<String> ended = World.queue();
+        BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
+        BlockingQueue<String> ended = GatewayFixture.queue();
         try (StandIn tool = new StandIn(x -> {
             effects.incrementAndGet();
             x.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"jsonrpc\"");
             calls.add(x);
-            x.awaitEnd();
+            x.awaitClose();
             ended.add("ended");
-        }); World world = startWorld(tool)) {
+        }); GatewayFixture world = startWorld(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             take(calls);
@@ -193,7 +193,7 @@
             effects.incrementAndGet();
             x.reset();
         };
-        try (StandIn one = new StandIn(reset); StandIn two = new StandIn(reset); World world = startWorld(one, two)) {
+        try (StandIn one = new StandIn(reset); StandIn two = new StandIn(reset); GatewayFixture world = startWorld(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             JsonValue error = client.nextAnswer().at("error");
@@ -214,7 +214,7 @@
         };
         try (StandIn one = new StandIn(failOnce);
                 StandIn two = new StandIn(failOnce);
-                World world = startWorld(one, two)) {
+                GatewayFixture world = startWorld(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "columns.find");
             assertThat(client.nextAnswer().at("result").present()).isTrue();
@@ -232,7 +232,7 @@
         };
         try (StandIn one = new StandIn(failOnce);
                 StandIn two = new StandIn(failOnce);
-                World world = startWorld(one, two)) {
+                GatewayFixture world = startWorld(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             assertThat(client.nextAnswer().at("result").present()).isTrue();
@@ -241,8 +241,8 @@
 
     @Test
     void callIsAnsweredByItsDeadline() throws Exception {
-        try (StandIn tool = new StandIn(StandIn.Exchange::awaitEnd);
-                World world = new World().start(toolsConfig(serversJson(tool), "200", 4, 1000))) {
+        try (StandIn tool = new StandIn(StandIn.Exchange::awaitClose);
+                GatewayFixture world = new GatewayFixture().start(toolsConfig(serversJson(tool), "200", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             assertThat(client.nextAnswer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
@@ -253,9 +253,9 @@
 
     @Test
     void teamsCallsInFlightAreLimitedAndFreed() throws Exception {
-        BlockingQueue<StandIn.Exchange> calls = World.queue();
+        BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
         try (StandIn tool = new StandIn(calls::add);
-                World world = new World().start(toolsConfig(serversJson(tool), "5000", 1, 1000))) {
+                GatewayFixture world = new GatewayFixture().start(toolsConfig(serversJson(tool), "5000", 1, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "columns.find");
             StandIn.Exchange first = take(calls);
@@ -275,7 +275,7 @@
     @Test
     void replyAboveTheContractsLimitFails() throws Exception {
         try (StandIn tool = toolServer(new AtomicInteger());
-                World world = new World().start(toolsConfig(serversJson(tool), "5000", 4, 20))) {
+                GatewayFixture world = new GatewayFixture().start(toolsConfig(serversJson(tool), "5000", 4, 20))) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "columns.find");
             assertThat(client.nextAnswer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
@@ -285,8 +285,8 @@
 
     @Test
     void cancelledCallGetsOneAnswerAndFreesItsId() throws Exception {
-        BlockingQueue<StandIn.Exchange> calls = World.queue();
-        try (StandIn tool = new StandIn(calls::add); World world = startWorld(tool)) {
+        BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
+        try (StandIn tool = new StandIn(calls::add); GatewayFixture world = startWorld(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             StandIn.Exchange call = take(calls);
@@ -296,7 +296,7 @@
             assertThat(duplicate.at("error").at("data").at("duplicateId").number()).isEqualTo(1);
             client.send("{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":1}}");
             assertThat(client.nextAnswer().at("error").at("code").number()).isEqualTo(-32003);
-            call.awaitEnd();
+            call.awaitClose();
             await("no request is retained", () -> world.gateway.retainedRequests() == 0);
             assertThat(tool.count("POST")).isEqualTo(1);
         }
@@ -320,7 +320,7 @@
             """)
     void invalidMessagesAreRejectedAndNotForwarded(String message, int code) throws Exception {
         AtomicInteger effects = new AtomicInteger();
-        try (StandIn tool = toolServer(effects); World world = startWorld(tool)) {
+        try (StandIn tool = toolServer(effects); GatewayFixture world = startWorld(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.send(message);
             assertThat(client.nextAnswer().at("error").at("code").number()).isEqualTo(code);
@@ -333,7 +333,7 @@
     @Test
     void argumentAboveTheContractsLimitIsNotForwarded() throws Exception {
         AtomicInteger effects = new AtomicInteger();
-        try (StandIn tool = toolServer(effects); World world = startWorld(tool)) {
+        try (StandIn tool = toolServer(effects); GatewayFixture world = startWorld(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.send("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"columns.find\","
                     + "\"arguments\":{\"a\":\"" + "x".repeat(200) + "\"}}}");
@@ -344,7 +344,7 @@
 
     @Test
     void unknownTeamIsRejected() throws Exception {
-        try (StandIn tool = toolServer(new AtomicInteger()); World world = startWorld(tool)) {
+        try (StandIn tool = toolServer(new AtomicInteger()); GatewayFixture world = startWorld(tool)) {
             assertThatThrownBy(() -> Client.connect(world, "nobody")).isInstanceOf(CompletionException.class);
         }
     }
@@ -356,7 +356,7 @@
         try (StandIn first = toolServer(one);
                 StandIn second = toolServer(two);
                 ConsulStandIn consul = new ConsulStandIn(first, second);
-                World world = new World().start(toolsConfig("\"consul\":\"" + consul.address()
+                GatewayFixture world = new GatewayFixture().start(toolsConfig("\"consul\":\"" + consul.address()
                         + "\",\"services\":{\"records\":{\"path\":\"/tool\"}},", "300", 4, 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
             await("the service is found", () -> isServed(client));
--- a/src/test/java/maplerail/net/ConnectionPoolTest.java
+++ b/src/test/java/maplerail/net/ConnectionPoolTest.java
@@ -1,7 +1,7 @@
 package maplerail.net;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.undertow.util.HeaderMap;
@@ -26,7 +26,7 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -38,7 +38,7 @@
     @RegisterExtension
     private final TestLoop testLoop;
     private final XnioLoop loop;
-    private final BlockingQueue<String> events = World.queue();
+    private final BlockingQueue<String> events = GatewayFixture.queue();
 
     ConnectionPoolTest() throws Exception {
         testLoop = new TestLoop();
@@ -106,7 +106,7 @@
             }
             int before = server.connections();
             assertThat(post(pool(100), server.socketAddress())).isEqualTo("end");
-            await("the new connection closed", () -> server.connections() == before + 1 && server.ended() == 1);
+            await("the new connection closed", () -> server.connections() == before + 1 && server.closedConnections() == 1);
         }
     }
 
@@ -121,14 +121,14 @@
             while (post(pool, server.socketAddress()).equals("end")) posts++;
             assertThat(posts).isGreaterThan(1);
             assertThat(server.count("POST")).isEqualTo(posts);
-            assertThat(server.ended()).isLessThanOrEqualTo(1);
+            assertThat(server.closedConnections()).isLessThanOrEqualTo(1);
         }
     }
 
     /** Guards against reuse of a connection on which the next request would be queued behind the rest of this one. */
     @Test
     void connectionWithAPartlyWrittenRequestIsNotReused() throws Exception {
-        BlockingQueue<String> results = World.queue();
+        BlockingQueue<String> results = GatewayFixture.queue();
         try (ServerSocket server = new ServerSocket(0, 9, InetAddress.getByName("127.0.0.1"))) {
             InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
             ConnectionPool pool = pool(1e12);
@@ -140,7 +140,7 @@
             try (Socket socket = server.accept()) {
                 socket.getOutputStream().write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".getBytes());
                 assertThat(take(results)).isEqualTo("end");
-                World.readAll(socket.getInputStream());
+                GatewayFixture.readAll(socket.getInputStream());
             }
         }
     }
@@ -156,7 +156,7 @@
             for (int i = 1; i <= 3; i++) {
                 assertThat(post(pool, server.socketAddress())).isEqualTo("end");
                 int closed = i;
-                await("the connection closed", () -> server.ended() == closed);
+                await("the connection closed", () -> server.closedConnections() == closed);
             }
         }
     }
@@ -164,7 +164,7 @@
     /** Guards against connections to engines that use up the descriptors needed for clients. */
     @Test
     void poolNeverExceedsItsConnectionLimit() throws Exception {
-        BlockingQueue<StandIn.Exchange> exchanges = World.queue();
+        BlockingQueue<StandIn.Exchange> exchanges = GatewayFixture.queue();
         try (StandIn server = new StandIn(exchanges::add); StandIn other = new StandIn(x -> x.reply(200, ""))) {
             ConnectionPool pool = pool(30_000);
             assertThat(post(pool, other.socketAddress())).isEqualTo("end");
@@ -173,7 +173,7 @@
                         new RecordingHandler(events)));
                 take(exchanges);
             }
-            await("the idle connection closed", () -> other.ended() == 1);
+            await("the idle connection closed", () -> other.closedConnections() == 1);
             assertThat(post(pool, other.socketAddress())).isEqualTo("never sent");
         }
     }
@@ -181,7 +181,7 @@
     /** Guards against hanging attempts that block discovery updates and releases of states. */
     @Test
     void watchAndReleaseGetConnectionsFromAFullPool() throws Exception {
-        BlockingQueue<StandIn.Exchange> exchanges = World.queue();
+        BlockingQueue<StandIn.Exchange> exchanges = GatewayFixture.queue();
         try (StandIn engineServer = new StandIn(x -> {
             if (x.method.equals("DELETE")) x.reply(204, "");
             else exchanges.add(x);
@@ -245,7 +245,7 @@
     void responseWithAnIncompleteHeadTimesOut() throws Exception {
         try (StandIn server = new StandIn(x -> {
             x.write("HTTP/1.1 202 Accepted\r\nContent-");
-            x.awaitEnd();
+            x.awaitClose();
         })) {
             double startMs = loop.nowMs();
             assertThat(post(pool(30_000), server.socketAddress())).isEqualTo("may have run");
@@ -317,7 +317,7 @@
             for (int i = 0; i < 2; i++) server.accept().close();
             server.setSoTimeout(2_000);
             try (Socket accepted = server.accept()) {
-                assertThat(World.readAll(accepted.getInputStream())).isIn("", "<reset>");
+                assertThat(GatewayFixture.readAll(accepted.getInputStream())).isIn("", "<reset>");
             } catch (SocketTimeoutException e) {
                 assertThat(pendingSockets).as("the connection was cancelled before it was established").hasSize(2);
             }
@@ -351,7 +351,7 @@
     @ParameterizedTest
     @MethodSource("localFaults")
     void transientLocalFaultIsRetried(IOException fault) throws Exception {
-        try (StandIn server = World.reader()) {
+        try (StandIn server = GatewayFixture.reader()) {
             ConnectionPool pool = pool(30_000, 2_000);
             failConnects(pool, 3, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("end");
@@ -362,7 +362,7 @@
     @ParameterizedTest
     @MethodSource("localFaults")
     void lastingLocalFaultIsNotAttributedToThePeer(IOException fault) throws Exception {
-        try (StandIn server = World.reader()) {
+        try (StandIn server = GatewayFixture.reader()) {
             ConnectionPool pool = pool(30_000, 150);
             failConnects(pool, Integer.MAX_VALUE, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("local fault");
@@ -378,7 +378,7 @@
     @ParameterizedTest
     @MethodSource("remoteFaults")
     void remoteFaultIsReportedAtOnce(IOException fault) throws Exception {
-        try (StandIn server = World.reader()) {
+        try (StandIn server = GatewayFixture.reader()) {
             ConnectionPool pool = pool(30_000, 20_000);
             failConnects(pool, Integer.MAX_VALUE, () -> fault);
             assertThat(post(pool, server.socketAddress())).isEqualTo("never sent");
--- a/src/test/java/maplerail/net/EngineClientTest.java
+++ b/src/test/java/maplerail/net/EngineClientTest.java
@@ -1,7 +1,7 @@
 package maplerail.net;
 
-import static maplerail.support.World.await;
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.await;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.undertow.util.Methods;
@@ -12,7 +12,7 @@
 import maplerail.core.ServiceRequest;
 import maplerail.core.EngineTransport;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
@@ -24,7 +24,7 @@
     @RegisterExtension
     private final TestLoop testLoop;
     private final XnioLoop loop;
-    private final BlockingQueue<String> outcomes = World.queue();
+    private final BlockingQueue<String> outcomes = GatewayFixture.queue();
 
     EngineClientTest() throws Exception {
         testLoop = new TestLoop();
@@ -64,7 +64,7 @@
      */
     @Test
     void deadlineHeaderIsTheTimeLeftWhenTheRequestIsWritten() throws Exception {
-        BlockingQueue<StandIn.Exchange> requests = World.queue();
+        BlockingQueue<StandIn.Exchange> requests = GatewayFixture.queue();
         try (StandIn engine = new StandIn(requests::add)) {
             EngineClient client = client(engine, 1);
             double startMs = loop.nowMs();
@@ -83,9 +83,9 @@
     /** The state counts as held until the release arrives, and an idle connection may no longer respond. */
     @Test
     void releaseLostOnAnIdleConnectionIsRetriedSoonOnANewOne() throws Exception {
-        BlockingQueue<StandIn.Exchange> reads = World.queue();
-        BlockingQueue<Double> releasedMs = World.queue();
-        BlockingQueue<EngineTransport.ReleaseResult> results = World.queue();
+        BlockingQueue<StandIn.Exchange> reads = GatewayFixture.queue();
+        BlockingQueue<Double> releasedMs = GatewayFixture.queue();
+        BlockingQueue<EngineTransport.ReleaseResult> results = GatewayFixture.queue();
         try (StandIn engine = new StandIn(exchange -> {
             if (exchange.method.equals("POST")) {
                 reads.add(exchange);
@@ -93,7 +93,7 @@
                 releasedMs.add(loop.nowMs());
                 exchange.reply(204, "");
             } else {
-                exchange.awaitEnd(); // like a connection on which nothing is delivered any more
+                exchange.awaitClose(); // like a connection on which nothing is delivered any more
             }
         })) {
             EngineClient client = client(engine, 4);
@@ -114,8 +114,8 @@
 
     @Test
     void unansweredReleaseEndsAtItsDeadline() throws Exception {
-        BlockingQueue<EngineTransport.ReleaseResult> results = World.queue();
-        try (StandIn engine = new StandIn(StandIn.Exchange::awaitEnd)) {
+        BlockingQueue<EngineTransport.ReleaseResult> results = GatewayFixture.queue();
+        try (StandIn engine = new StandIn(StandIn.Exchange::awaitClose)) {
             EngineClient client = client(engine, 4);
             double startMs = loop.nowMs();
             loop.execute(() -> client.release(ENGINE, "a", startMs + 400, results::add));
--- a/src/test/java/maplerail/net/SlowResponseTest.java
+++ b/src/test/java/maplerail/net/SlowResponseTest.java
@@ -1,6 +1,6 @@
 package maplerail.net;
 
-import static maplerail.support.World.take;
+import static maplerail.support.GatewayFixture.take;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.undertow.client.ClientRequest;
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import maplerail.support.StandIn;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -38,7 +38,7 @@
     @RegisterExtension
     private final TestLoop testLoop;
     private final XnioLoop loop;
-    private final BlockingQueue<String> results = World.queue();
+    private final BlockingQueue<String> results = GatewayFixture.queue();
     private final StringBuilder received = new StringBuilder();
 
     SlowResponseTest() throws Exception {
@@ -81,7 +81,7 @@
     @ParameterizedTest
     @ValueSource(ints = {300, 1_200})
     void readerResponseArrivingByteByByteIsComplete(int spanMs) throws Exception {
-        try (StandIn reader = new StandIn(x -> x.drip(READ, spanMs))) {
+        try (StandIn reader = new StandIn(x -> x.writeSlowly(READ, spanMs))) {
             assertThat(call(reader)).isEqualTo("202 {}end");
         }
     }
@@ -90,7 +90,7 @@
     @ValueSource(ints = {300, 1_200})
     void streamWithAHeadArrivingByteByByteIsComplete(int spanMs) throws Exception {
         try (StandIn writer = new StandIn(x -> {
-            x.drip(STREAM, spanMs);
+            x.writeSlowly(STREAM, spanMs);
             x.write(CHUNK + END);
         })) {
             assertThat(call(writer)).isEqualTo("200 " + EVENT + "end");
@@ -102,7 +102,7 @@
     void chunkArrivingByteByByteIsComplete(int spanMs) throws Exception {
         try (StandIn writer = new StandIn(x -> {
             x.write(STREAM);
-            x.drip(CHUNK, spanMs);
+            x.writeSlowly(CHUNK, spanMs);
             x.write(END);
         })) {
             assertThat(call(writer)).isEqualTo("200 " + EVENT + "end");
@@ -148,7 +148,7 @@
     void silentPartialHeadFailsInTimeForARelease(String partialHead) throws Exception {
         try (StandIn reader = new StandIn(x -> {
             x.write(partialHead);
-            x.awaitEnd();
+            x.awaitClose();
         })) {
             double startMs = loop.nowMs();
             assertThat(call(reader)).isEqualTo("BROKEN");
@@ -165,7 +165,7 @@
         try (StandIn reader = new StandIn(x -> {
             String line = "X-Noise: " + "n".repeat(245) + "\r\n";
             x.write("HTTP/1.1 202 Accepted\r\n");
-            while (!x.isEnded()) {
+            while (!x.isClosedByPeer()) {
                 x.write(line);
                 sent.addAndGet(line.length());
                 TimeUnit.MILLISECONDS.sleep(10);
--- a/src/test/java/maplerail/net/XnioLoopTest.java
+++ b/src/test/java/maplerail/net/XnioLoopTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.concurrent.BlockingQueue;
-import maplerail.support.World;
+import maplerail.support.GatewayFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
@@ -14,7 +14,7 @@
     @RegisterExtension
     private final TestLoop testLoop;
     private final XnioLoop loop;
-    private final BlockingQueue<String> events = World.queue();
+    private final BlockingQueue<String> events = GatewayFixture.queue();
 
     XnioLoopTest() throws Exception {
         testLoop = new TestLoop();
@@ -29,9 +29,9 @@
             });
             loop.runAfterInput(() -> events.add("ran"));
         });
-        assertThat(World.take(events)).isEqualTo("ran");
+        assertThat(GatewayFixture.take(events)).isEqualTo("ran");
         double beforeMs = loop.nowMs();
-        World.await("input checks go on", () -> loop.inputArrivedAfterMs() > beforeMs);
+        GatewayFixture.await("input checks go on", () -> loop.inputArrivedAfterMs() > beforeMs);
     }
 
     @Test
@@ -40,13 +40,13 @@
             loop.runAfterInput(() -> events.add("cancelled")).cancel();
             loop.runAfterInput(() -> events.add("ran"));
         });
-        assertThat(World.take(events)).isEqualTo("ran");
+        assertThat(GatewayFixture.take(events)).isEqualTo("ran");
     }
 
     @Test
     void inputReadAfterAStallMayHaveArrivedAtItsStart() throws Exception {
         double startMs = loop.nowMs();
-        World.await("input has been checked", () -> loop.inputArrivedAfterMs() > startMs);
+        GatewayFixture.await("input has been checked", () -> loop.inputArrivedAfterMs() > startMs);
         loop.execute(() -> {
             double stalledMs = loop.nowMs();
             while (loop.nowMs() < stalledMs + STALL_MS) Thread.onSpinWait();
@@ -54,10 +54,10 @@
             loop.runAfterInput(
                     () -> events.add(loop.connectionsArrivedAfterMs() <= stalledMs ? "unread since" : "known"));
         });
-        assertThat(World.take(events)).isEqualTo("unread since");
-        assertThat(World.take(events)).as("connections, some of which may not have been accepted yet")
+        assertThat(GatewayFixture.take(events)).isEqualTo("unread since");
+        assertThat(GatewayFixture.take(events)).as("connections, some of which may not have been accepted yet")
                 .isEqualTo("unread since");
         double afterMs = loop.nowMs();
-        World.await("the loop has caught up", () -> loop.connectionsArrivedAfterMs() > afterMs);
+        GatewayFixture.await("the loop has caught up", () -> loop.connectionsArrivedAfterMs() > afterMs);
     }
 }
--- a/src/test/java/maplerail/support/World.java
+++ b/src/test/java/maplerail/support/GatewayFixture.java
@@ -16,8 +16,8 @@
 import maplerail.config.ToolsConfig;
 import maplerail.core.Lifecycle.Phase;
 
-/** A gateway with stand-ins for discovery and engines round it, all on loopback. */
-public final class World implements AutoCloseable {
+/** A test fixture: a gateway in this process with stand-ins for discovery and engines, all on loopback. */
+public final class GatewayFixture implements AutoCloseable {
     public static final String SETTINGS = """
             {"balancers":1,"zone":0,"tickMs":2.0,"discovery":"push","overShareWorth":0.2,
              "familyInfo":{"kindRole":["read","write"],"kindMemoryTokens":[200000,150000],"pinLimitMs":500.0,
@@ -37,17 +37,17 @@
     private int sockets = 1_024;
     public Gateway gateway;
 
-    public World() throws IOException {
+    public GatewayFixture() throws IOException {
         discovery = new StandIn(exchange -> {
-            int mark = exchange.target.indexOf("index=");
-            if (mark >= 0 && !exchange.target.endsWith("wait=0"))
-                awaitAfter(Long.parseLong(exchange.target.substring(mark + 6).split("&")[0]));
+            int indexStart = exchange.target.indexOf("index=");
+            if (indexStart >= 0 && !exchange.target.endsWith("wait=0"))
+                awaitNewerThan(Long.parseLong(exchange.target.substring(indexStart + 6).split("&")[0]));
             exchange.reply(200, list());
         });
     }
 
-    public World discoveredBy(StandIn other) {
-        discovery = other;
+    public GatewayFixture withDiscovery(StandIn server) {
+        discovery = server;
         return this;
     }
 
@@ -55,21 +55,21 @@
         return discovery;
     }
 
-    public World sockets(int most) {
-        sockets = most;
+    public GatewayFixture sockets(int max) {
+        sockets = max;
         return this;
     }
 
-    public World engine(String host, String kind, StandIn at) {
-        return engine(host, kind, at, "in_service");
+    public GatewayFixture engine(String host, String kind, StandIn server) {
+        return engine(host, kind, server, "in_service");
     }
 
-    public World engine(String host, String kind, StandIn at, String health) {
-        return engine(host, kind, at.address(), health);
+    public GatewayFixture engine(String host, String kind, StandIn server, String health) {
+        return engine(host, kind, server.address(), health);
     }
 
-    /** Lists an engine at an address, whether or not anything is there. */
-    public synchronized World engine(String host, String kind, String address, String health) {
+    /** Lists an engine at an address, whether or not anything listens there. */
+    public synchronized GatewayFixture engine(String host, String kind, String address, String health) {
         hosts.put(host,
                 "{\"host\":\"" + host + "\",\"dial\":\"" + address + "\",\"site\":\"caerdydd\",\"class\":\""
                         + kind + "\",\"block\":1,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}");
@@ -78,8 +78,8 @@
         return this;
     }
 
-    private synchronized void awaitAfter(long known) throws InterruptedException {
-        while (version <= known) wait();
+    private synchronized void awaitNewerThan(long knownVersion) throws InterruptedException {
+        while (version <= knownVersion) wait();
     }
 
     private synchronized String list() {
@@ -92,45 +92,45 @@
                 + ",\"settings\":" + SETTINGS + "}";
     }
 
-    public World start() throws Exception {
+    public GatewayFixture start() throws Exception {
         return start(null);
     }
 
-    public World start(String tools) throws Exception {
-        begin(tools);
+    public GatewayFixture start(String tools) throws Exception {
+        startWithoutWaiting(tools);
         await("ready", () -> gateway.phase() == Phase.READY);
         return this;
     }
 
-    /** Starts the gateway and does not wait until it is ready. */
-    public World begin() throws Exception {
-        return begin(null);
+    /** Starts the gateway without waiting until it is ready. */
+    public GatewayFixture startWithoutWaiting() throws Exception {
+        return startWithoutWaiting(null);
     }
 
-    private World begin(String tools) throws Exception {
+    private GatewayFixture startWithoutWaiting(String tools) throws Exception {
         gateway = new Gateway(NodeConfig.read(config("127.0.0.1:0"), Map.of()),
                 tools == null ? null : ToolsConfig.read(tools));
         gateway.start();
         return this;
     }
 
-    /** Waits for a condition; the limit only ends a test that would never end. */
+    /** Waits until a condition is true; the limit of over 20 s only ends a test that would otherwise never end. */
     public static void await(String what, BooleanSupplier condition) throws InterruptedException {
         for (int i = 0; !condition.getAsBoolean(); i++) {
-            if (i > 4_000) throw new AssertionError("never came true: " + what);
+            if (i > 4_000) throw new AssertionError("timed out waiting for: " + what);
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
-    /** Lets a client, or a signal, take its time. */
-    public static void pass(double forMs) throws InterruptedException {
+    /** Waits for at least the given time, as a slow client would or until a signal has taken effect. */
+    public static void pause(double forMs) throws InterruptedException {
         double startNanos = System.nanoTime();
-        await("some time later", () -> (System.nanoTime() - startNanos) / 1e6 >= forMs);
+        await("the given time has passed", () -> (System.nanoTime() - startNanos) / 1e6 >= forMs);
     }
 
     public static <T> T take(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(20, TimeUnit.SECONDS);
-        if (next == null) throw new AssertionError("nothing came");
+        if (next == null) throw new AssertionError("nothing arrived within 20 s");
         return next;
     }
 
@@ -138,7 +138,7 @@
         return new LinkedBlockingQueue<>();
     }
 
-    /** A reader that reads at once. */
+    /** A reader that answers every read and release at once. */
     public static StandIn reader() throws IOException {
         return new StandIn(x -> {
             if (x.method.equals("DELETE")) x.reply(204, "");
@@ -146,17 +146,17 @@
         });
     }
 
-    /** A writer that answers with two events. */
+    /** A writer that answers every request with two events. */
     public static StandIn writer() throws IOException {
         return new StandIn(x -> {
             if (x.method.equals("DELETE")) {
                 x.reply(204, "");
                 return;
             }
-            x.stream();
+            x.startStream();
             x.chunk("data: {\"a\":1}\n\n");
             x.chunk("data: [DONE]\n\n");
-            x.last();
+            x.endStream();
         });
     }
 
@@ -168,11 +168,11 @@
     }
 
     public Socket connect() throws IOException {
-        InetSocketAddress at = gateway.address();
-        return new Socket(at.getAddress(), at.getPort());
+        InetSocketAddress address = gateway.address();
+        return new Socket(address.getAddress(), address.getPort());
     }
 
-    /** Sends a request and reads until the connection ends; the request asks for that. */
+    /** Sends a request with "Connection: close" added, and returns everything read until the connection ends. */
     public String exchange(String request) throws IOException {
         try (Socket socket = connect()) {
             String closing = request.replaceFirst("\r\n", "\r\nConnection: close\r\n");
@@ -181,15 +181,15 @@
         }
     }
 
-    /** Reads a connection until a text has come, or it ends; returns all that came. */
+    /** Reads from a connection until a text has arrived or the connection ends, and returns everything read. */
     public static String readUntil(Socket socket, String text) throws IOException {
-        StringBuilder came = new StringBuilder();
+        StringBuilder received = new StringBuilder();
         InputStream in = socket.getInputStream();
         for (int c = in.read(); c >= 0; c = in.read()) {
-            came.append((char) c);
-            if (came.indexOf(text, came.length() - text.length()) >= 0) break;
+            received.append((char) c);
+            if (received.indexOf(text, received.length() - text.length()) >= 0) break;
         }
-        return came.toString();
+        return received.toString();
     }
 
     public static String readAll(InputStream in) {
