--- a/src/test/java/maplerail/cli/AbandonedRequestIT.java
+++ b/src/test/java/maplerail/cli/AbandonedRequestIT.java
@@ -39,7 +39,8 @@
             exchange.awaitClose();
         });
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             int port = gateway.readyPort();
             long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
--- a/src/test/java/maplerail/cli/DeadlineHeaderIT.java
+++ b/src/test/java/maplerail/cli/DeadlineHeaderIT.java
@@ -65,7 +65,8 @@
                     exchange.chunk("data: [DONE]\n\n");
                     exchange.endStream();
                 });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             scenario.run(gateway, gateway.readyPort());
             GatewayFixture.await("requests passed on", () -> excessMs.size() >= minRequests);
--- a/src/test/java/maplerail/cli/DrainTest.java
+++ b/src/test/java/maplerail/cli/DrainTest.java
@@ -28,7 +28,8 @@
             x.chunk("data: 1\n\n");
             streams.add(x);
         });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start();
                 Socket before = world.connect();
                 Socket after = world.connect()) {
             send(before, request("a1", "lookup", "5.0"));
@@ -56,7 +57,8 @@
             x.chunk("data: 1\n\n");
             streams.add(x);
         });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start();
                 Socket client = world.connect()) {
             send(client, request("a1", "lookup", "5.0"));
             StandIn.Exchange first = take(streams);
@@ -80,7 +82,8 @@
             x.startStream();
             streams.add(x);
         });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start();
                 Socket client = world.connect()) {
             world.gateway.drain();
             await("draining", () -> world.gateway.phase() == Phase.DRAINING);
@@ -102,7 +105,9 @@
             x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
-        }); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+        });
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start()) {
             Socket abandoned = world.connect();
             send(abandoned, request("a1", "lookup", "5.0"));
             take(streams);
@@ -135,8 +140,10 @@
             exchange.reply(exchange.method.equals("DELETE") ? 204 : 202, "");
         });
                 StoppableEngine writer = new StoppableEngine(StandIn.Exchange::awaitClose);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer.address(),
-                        "in_service").start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer.address(),
+                                "in_service")
+                        .start();
                 Socket client = world.connect()) {
             writer.stop();
             send(client, request("a1", "repair-order", "1.0"));
--- a/src/test/java/maplerail/cli/FinalAnswerIT.java
+++ b/src/test/java/maplerail/cli/FinalAnswerIT.java
@@ -173,7 +173,8 @@
     void aRequestWhoseWriterAcceptsNoConnectionGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
                 FullBacklog writer = new FullBacklog();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer.address(),
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer.address(),
                         "in_service");
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             assertInTime(sendAll(gateway.readyPort()), gateway);
@@ -184,7 +185,8 @@
     void aRequestWithoutAWriterGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer, "terminating");
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer,
+                        "terminating");
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             assertInTime(sendAll(gateway.readyPort()), gateway);
         }
@@ -195,7 +197,8 @@
     void aRequestSentWhileTheProcessIsStoppedGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
                 StandIn writer = engine(NO_ANSWER::handle);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             int port = gateway.readyPort();
             gateway.signal("STOP");
--- a/src/test/java/maplerail/cli/HeldStateIT.java
+++ b/src/test/java/maplerail/cli/HeldStateIT.java
@@ -81,7 +81,8 @@
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
             for (int i = 0; i < WARM_REQUESTS; i++) {
-                assertThat(gateway.exchange(GatewayFixture.request("warm" + i, "repair-order", "5.0"))).contains("[DONE]");
+                assertThat(gateway.exchange(GatewayFixture.request("warm" + i, "repair-order", "5.0")))
+                        .contains("[DONE]");
             }
             writer.stop();
             gateway.exchange(GatewayFixture.request("a1", "repair-order", "1.5"));
--- a/src/test/java/maplerail/cli/JarIT.java
+++ b/src/test/java/maplerail/cli/JarIT.java
@@ -62,7 +62,8 @@
                             .getBytes(StandardCharsets.UTF_8));
                     StandIn.Exchange stream = GatewayFixture.take(streams);
                     gateway.destroy(); // SIGTERM
-                    await("draining", () -> program.exchange("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").contains(" 503 "));
+                    await("draining",
+                            () -> program.exchange("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").contains(" 503 "));
                     stream.chunk("data: [DONE]\n\n");
                     stream.endStream();
                     InputStream in = client.getInputStream();
@@ -87,8 +88,10 @@
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(startStream);
                 StandIn nextWriter = new StandIn(startStream);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
-                GatewayFixture next = new GatewayFixture().engine("r", "prefill", reader).engine("w2", "decode", nextWriter)) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer);
+                GatewayFixture next = new GatewayFixture().engine("r", "prefill", reader).engine("w2", "decode",
+                        nextWriter)) {
             Path config = folder.resolve("config.json");
             Files.writeString(config, world.config("127.0.0.1:0"));
             Process gateway = start(
@@ -116,7 +119,8 @@
                     gateway.destroy();
                     stream = GatewayFixture.take(streams);
                     stream.endStream();
-                    assertThat(GatewayFixture.readAll(client.getInputStream())).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
+                    assertThat(GatewayFixture.readAll(client.getInputStream())).contains("[DONE]")
+                            .endsWith("\r\n0\r\n\r\n");
                 }
                 await("ended", () -> !gateway.isAlive());
             } finally {
@@ -133,8 +137,10 @@
     void aConfigurationThatCannotBeReadAtTheSignalIsRetried() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
-                GatewayFixture next = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer);
+                GatewayFixture next = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer)) {
             Path config = folder.resolve("config.json");
             Files.writeString(config, world.config("127.0.0.1:0"));
             Process gateway = start(GatewayProgram.command("run"), config.toString());
@@ -160,7 +166,8 @@
     void aGatewayThatRanOutOfDescriptorsAcceptsAgainOnceSomeAreFree() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer)) {
             Process gateway = startWithFewDescriptors(world);
             List<Socket> silent = new ArrayList<>();
             try {
@@ -189,7 +196,8 @@
             x.reply(202, "{\"cached_tokens\":0}");
         });
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer)) {
             Process gateway = startWithFewDescriptors(world);
             List<Socket> silent = new ArrayList<>();
             try {
--- a/src/test/java/maplerail/cli/ReleaseOutOfReachIT.java
+++ b/src/test/java/maplerail/cli/ReleaseOutOfReachIT.java
@@ -63,7 +63,8 @@
     void aStateIsLetGoInTimeThoughItsReaderIsOutOfReachOnceItsRequestIsOver(String kind) throws Exception {
         try (StandIn reader = unreachableReader();
                 StandIn writer = queueingWriter();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
             CompletableFuture.runAsync(() -> gateway.exchange(GatewayFixture.request("a1", kind, DEADLINE_S)));
--- a/src/test/java/maplerail/cli/RequestLogIT.java
+++ b/src/test/java/maplerail/cli/RequestLogIT.java
@@ -29,10 +29,12 @@
                     x.chunk("data: 1\n\n");
                     streams.add(x);
                 });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"));
                 Socket client = new Socket("127.0.0.1", gateway.readyPort())) {
-            String requests = GatewayFixture.request("a1", "lookup", "5.0") + GatewayFixture.request("a2", "lookup", "5.0");
+            String requests = GatewayFixture.request("a1", "lookup", "5.0")
+                    + GatewayFixture.request("a2", "lookup", "5.0");
             client.getOutputStream().write(requests.getBytes(StandardCharsets.UTF_8));
             assertThat(GatewayFixture.readUntil(client, "data: 1\n\n")).startsWith("HTTP/1.1 200");
             take(streams).reset();
--- a/src/test/java/maplerail/cli/UnansweredReleaseIT.java
+++ b/src/test/java/maplerail/cli/UnansweredReleaseIT.java
@@ -86,8 +86,9 @@
         try (StandIn one = reader();
                 StandIn other = reader();
                 StandIn writer = writer();
-                GatewayFixture world = new GatewayFixture().engine("r0", "prefill", one).engine("r1", "prefill", other).engine("w",
-                        "decode", writer);
+                GatewayFixture world = new GatewayFixture().engine("r0", "prefill", one).engine("r1", "prefill", other)
+                        .engine("w",
+                                "decode", writer);
                 GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
             gateway.readyPort();
             for (int i = 0; i < WARM_REQUESTS; i++) {
--- a/src/test/java/maplerail/discovery/PlatformWatchTest.java
+++ b/src/test/java/maplerail/discovery/PlatformWatchTest.java
@@ -148,7 +148,8 @@
     void nodeContinuesFromItsKnownList() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer)) {
             world.start();
             await("first call", () -> world.discovery().seen.size() > 0);
             assertThat(world.discovery().seen.get(0)).startsWith("GET /api/targets?index=3&");
@@ -166,7 +167,8 @@
                     if (x.target.endsWith("wait=0")) firstRequests.add(x);
                     else x.awaitClose();
                 });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w1", "decode", writer)
                         .engine("w2", "decode", other).withDiscovery(agent)) {
             world.startWithoutWaiting();
             StandIn.Exchange firstRequest = take(firstRequests);
@@ -205,7 +207,8 @@
                     if (x.target.endsWith("wait=0")) firstRequests.add(x);
                     else x.awaitClose();
                 });
-                GatewayFixture world = new GatewayFixture().engine("r1", "prefill", draining).engine("w", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r1", "prefill", draining)
+                        .engine("w", "decode", writer)
                         .withDiscovery(agent)) {
             world.startWithoutWaiting();
             StandIn.Exchange firstRequest = take(firstRequests);
@@ -235,7 +238,8 @@
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
                 StandIn other = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer, "terminating")
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w1", "decode", writer, "terminating")
                         .engine("w2", "decode", other);
                 StandIn agent = new StandIn(x -> x.reply(200, requestCount.incrementAndGet() > 3
                         ? "{\"seq\":9,\"whole\":false,\"hosts\":[]}"
--- a/src/test/java/maplerail/front/ClientListenerTest.java
+++ b/src/test/java/maplerail/front/ClientListenerTest.java
@@ -58,7 +58,8 @@
             x.chunk("data: one\n\n");
             streams.add(x);
         });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start();
                 Socket complete = send(world, fullRequest);
                 Socket silent = send(world, "");
                 Socket incompleteHead = send(world, "POST / HTTP/1.1\r\nReq-");
@@ -70,7 +71,8 @@
             assertThat(GatewayFixture.readAll(incompleteBody.getInputStream())).startsWith("HTTP/1.1 408");
             open.chunk("data: two\n\n");
             open.endStream();
-            assertThat(GatewayFixture.readAll(complete.getInputStream())).contains("data: one\n\n").endsWith("\r\n0\r\n\r\n");
+            assertThat(GatewayFixture.readAll(complete.getInputStream())).contains("data: one\n\n")
+                    .endsWith("\r\n0\r\n\r\n");
             assertThat(writer.count("POST")).isEqualTo(1);
         }
     }
@@ -78,7 +80,8 @@
     /** An incomplete request that was pipelined after a complete one gets the same timeout as any other. */
     @Test
     void incompletePipelinedRequestTimesOut() throws Exception {
-        try (GatewayFixture world = new GatewayFixture().start(); Socket client = send(world, READY + "POST / HTTP/1.1\r\nReq-")) {
+        try (GatewayFixture world = new GatewayFixture().start();
+                Socket client = send(world, READY + "POST / HTTP/1.1\r\nReq-")) {
             long startNanos = System.nanoTime();
             String output = GatewayFixture.readAll(client.getInputStream());
             assertThat(System.nanoTime() - startNanos).as("time until the connection is closed, limited by TERMS")
@@ -94,7 +97,8 @@
         int body = fullRequest.indexOf("\r\n\r\n") + 4;
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start();
                 Socket client = send(world, fullRequest.substring(0, body))) {
             for (int i = body; i < fullRequest.length(); i++) {
                 long startNanos = System.nanoTime();
@@ -164,7 +168,8 @@
                     x.reply(200, "{\"seq\":9,\"whole\":false,\"hosts\":[{\"host\":\"w1\",\"dial\":\"" + writer.address()
                             + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"terminating\"}]}");
                 });
-                GatewayFixture world = new GatewayFixture().sockets(128).engine("r", "prefill", reader).engine("w1", "decode", writer)
+                GatewayFixture world = new GatewayFixture().sockets(128).engine("r", "prefill", reader)
+                        .engine("w1", "decode", writer)
                         .engine("w2", "decode", other).withDiscovery(agent).start()) {
             for (int i = 0; i < 300; i++) idle.add(world.connect());
             discoveryBack.countDown();
@@ -209,7 +214,8 @@
             x.reply(x.method.equals("POST") ? 202 : 204, "{\"cached_tokens\":0}");
         });
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture world = new GatewayFixture().sockets(256).engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
             List<Thread> threads = new ArrayList<>();
             for (int i = 0; i < INCOMPLETE_CLIENTS; i++) threads.add(reconnectUntil(world, stop));
@@ -246,7 +252,8 @@
         List<Socket> clients = new ArrayList<>();
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().sockets(256).engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture world = new GatewayFixture().sockets(256).engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
             for (int i = 0; i < clientCount; i++) clients.add(send(world, text));
             try (Socket client = send(world, request("a1", "lookup", BUDGET_S))) {
--- a/src/test/java/maplerail/front/MalformedRequestTest.java
+++ b/src/test/java/maplerail/front/MalformedRequestTest.java
@@ -49,7 +49,8 @@
     void requestWithInvalidBodyLengthIsRejected(String framing) throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start()) {
             long startNanos = System.nanoTime();
             String answer = send(world, request("a1", "lookup", "60").replace(LENGTH_HEADER, framing));
             assertThat(System.nanoTime() - startNanos).isLessThan(MAX_ANSWER_MS * 1_000_000L);
@@ -60,7 +61,8 @@
 
     @Test
     void endlessHeadIsRejected() throws Exception {
-        try (StandIn reader = GatewayFixture.reader(); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start()) {
+        try (StandIn reader = GatewayFixture.reader();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start()) {
             String endless = "POST / HTTP/1.1\r\n" + "X-Padding: more and more\r\n".repeat(40_000);
             assertThat(send(world, endless)).doesNotContain(" 200 ");
             assertThat(reader.seen).isEmpty();
@@ -71,7 +73,8 @@
     void requestCutOffByACloseIsNotForwarded() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start()) {
             String fullRequest = request("half", "lookup", "5.0");
             for (int length : new int[] {1, 30, fullRequest.indexOf("\r\n\r\n"), fullRequest.length() - 1}) {
                 try (Socket client = world.connect()) {
@@ -87,7 +90,8 @@
     void validRequestSentByteByByteIsServed() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start();
                 Socket client = world.connect()) {
             client.setTcpNoDelay(true);
             String fullRequest = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
--- a/src/test/java/maplerail/front/PlatformTest.java
+++ b/src/test/java/maplerail/front/PlatformTest.java
@@ -20,7 +20,8 @@
     void requestGoesToReaderThenWriterAndEventsPassUnchanged() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).startsWith("HTTP/1.1 200").contains("data: {\"a\":1}\n\n", "data: [DONE]\n\n")
                     .endsWith("0\r\n\r\n");
@@ -128,7 +129,8 @@
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
                 StandIn other = new StandIn(handler);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w1", "decode", writer)
                         .engine("w2", "decode", other).start()) {
             assertThat(world.exchange(request("a1", kind, "5.0"))).startsWith("HTTP/1.1 " + status);
             assertThat(writer.count("POST") + other.count("POST")).isEqualTo(sends);
@@ -147,7 +149,8 @@
         };
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).contains("data: 1\n\n").doesNotContain("hal").doesNotContain("\r\n0\r\n");
             assertThat(writer.count("POST")).isEqualTo(1);
@@ -166,7 +169,8 @@
         };
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start()) {
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).doesNotContain("\r\n0\r\n");
         }
     }
@@ -184,7 +188,8 @@
         };
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).endsWith("data: 1\n\n\r\n").doesNotContain("data: 2").doesNotContain("\r\n0\r\n");
             await("the corrupt connection is closed", () -> writer.closedConnections() == 1);
@@ -197,7 +202,9 @@
         try (StandIn reader = GatewayFixture.reader(); StandIn writer = new StandIn(x -> {
             x.write(head);
             x.awaitClose();
-        }); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+        });
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start()) {
             assertThat(world.exchange(request("a1", "repair-order", "15.0"))).startsWith("HTTP/1.1 502");
             assertThat(writer.count("POST")).isEqualTo(1);
         }
@@ -214,7 +221,8 @@
         try (StandIn reader = new StandIn(rejecting);
                 StandIn other = new StandIn(rejecting);
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r1", "prefill", reader).engine("r2", "prefill", other)
+                GatewayFixture world = new GatewayFixture().engine("r1", "prefill", reader)
+                        .engine("r2", "prefill", other)
                         .engine("w", "decode", writer).start()) {
             for (int i = 1; i <= 10; i++) {
                 assertThat(world.exchange(request("bad" + i, "lookup", "5.0"))).startsWith("HTTP/1.1 400");
@@ -233,7 +241,8 @@
         };
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start()) {
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).doesNotContain("\r\n0\r\n");
         }
     }
@@ -249,7 +258,8 @@
         };
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(silent);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start()) {
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start()) {
             Socket client = world.connect();
             client.getOutputStream().write(request("a1", "repair-order", "5.0").getBytes(StandardCharsets.UTF_8));
             assertThat(Double.parseDouble(take(waiting).headers.get("req-deadline"))).isBetween(0.0, 5.0);
@@ -265,7 +275,8 @@
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
                 StandIn other = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w1", "decode", writer)
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w1", "decode", writer)
                         .engine("w2", "decode", other).start()) {
             BlockingQueue<String> answers = GatewayFixture.queue();
             world.engine("w1", "decode", writer, "terminating");
@@ -289,7 +300,8 @@
         BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(streams::add);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start();
                 Socket client = world.connect()) {
             client.getOutputStream().write(request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
             StandIn.Exchange first = take(streams);
@@ -308,7 +320,8 @@
         BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(streams::add);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start();
                 Socket client = world.connect()) {
             client.setSoTimeout(2_000);
             String next = request("a2", "lookup", "5.0").repeat(9).substring(0, pipelinedBytes);
@@ -380,7 +393,8 @@
     void manyPipelinedRequestsAreAnsweredInOrder(int requests) throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer).start();
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                        .start();
                 Socket client = world.connect()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
@@ -400,7 +414,9 @@
         try (StandIn reader = new StandIn(x -> {
             waiting.add(x);
             x.awaitClose();
-        }); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start(); Socket first = world.connect()) {
+        });
+                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start();
+                Socket first = world.connect()) {
             first.getOutputStream().write(request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
             take(waiting);
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 409");
--- a/src/test/java/maplerail/front/ToolCallTest.java
+++ b/src/test/java/maplerail/front/ToolCallTest.java
@@ -193,7 +193,9 @@
             effects.incrementAndGet();
             x.reset();
         };
-        try (StandIn one = new StandIn(reset); StandIn two = new StandIn(reset); GatewayFixture world = startWorld(one, two)) {
+        try (StandIn one = new StandIn(reset);
+                StandIn two = new StandIn(reset);
+                GatewayFixture world = startWorld(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
             JsonValue error = client.nextAnswer().at("error");
--- a/src/test/java/maplerail/net/ConnectionPoolTest.java
+++ b/src/test/java/maplerail/net/ConnectionPoolTest.java
@@ -106,7 +106,8 @@
             }
             int before = server.connections();
             assertThat(post(pool(100), server.socketAddress())).isEqualTo("end");
-            await("the new connection closed", () -> server.connections() == before + 1 && server.closedConnections() == 1);
+            await("the new connection closed",
+                    () -> server.connections() == before + 1 && server.closedConnections() == 1);
         }
     }
 
