--- a/src/test/java/maplerail/core/AbortedReadTest.java
+++ b/src/test/java/maplerail/core/AbortedReadTest.java
@@ -18,9 +18,9 @@
         performActions(new Cancel(1, 0));
         assertThat(outcomes()).containsExactly(Outcome.CANCELLED);
         assertThat(releases).containsExactly("1/a");
-        loop.until(1_399);
+        loop.runUntil(1_399);
         assertThat(releases).as("the engine may see the release before the close").containsExactly("1/a", "1/a");
-        loop.until(60_000);
+        loop.runUntil(60_000);
         double engineDeadlineMs = 1_000 + 5_000;
         double latestReadEndMs = engineDeadlineMs + 1_600;
         assertThat(releaseTimesMs).as("a read in the queue may start until the deadline given to its reader")
@@ -35,7 +35,7 @@
         start(pinLimitMs);
         submit("a", send(READER));
         performActions(new Cancel(1, 0));
-        loop.until(60_000);
+        loop.runUntil(60_000);
         for (int i = 1; i < releaseTimesMs.size(); i++) {
             assertThat(releaseTimesMs.get(i) - releaseTimesMs.get(i - 1))
                     .isLessThanOrEqualTo(Math.max(120, pinLimitMs));
@@ -49,10 +49,10 @@
         submit("a", send(READER));
         nextActions.add(send(OTHER_READER));
         performActions(new Cancel(1, 0));
-        loop.until(1_600);
+        loop.runUntil(1_600);
         performActions(new Router.Fail(1), new Cancel(1, 1));
         releases.clear();
-        loop.until(60_000);
+        loop.runUntil(60_000);
         assertThat(releases.stream().filter("1/a"::equals).count()).as("600 ms after the abort")
                 .isGreaterThanOrEqualTo(2);
     }
@@ -66,11 +66,11 @@
         nextActions.add(send(WRITER));
         sentAttempts.get(1).listener.ended(Outcome.READ, 0);
         sentAttempts.get(2).listener.event(new byte[1]);
-        loop.until(1_200);
+        loop.runUntil(1_200);
         assertThat(releases).isEmpty();
         sentAttempts.get(2).listener.ended(Outcome.SERVED, 0);
         assertThat(releases).containsExactly("1/a");
-        loop.until(2_600);
+        loop.runUntil(2_600);
         assertThat(releases).hasSizeGreaterThan(3).containsOnly("1/a");
         assertThat(broker.retainedRequests()).isZero();
     }
@@ -79,7 +79,7 @@
     void nothingIsReleasedWhileTheReaderIsInUseAgain() {
         submit("a", send(READER));
         performActions(new Cancel(1, 0), send(READER));
-        loop.until(1_400);
+        loop.runUntil(1_400);
         assertThat(releases).isEmpty();
     }
 }
--- a/src/test/java/maplerail/core/BrokerTest.java
+++ b/src/test/java/maplerail/core/BrokerTest.java
@@ -20,7 +20,7 @@
         sentAttempts.get(1).listener.event(new byte[1]);
         nextActions.add(new Refuse(1, 0));
         sentAttempts.get(1).listener.ended(Outcome.SERVED, 0);
-        loop.until(20_000);
+        loop.runUntil(20_000);
         assertThat(callerEvents).containsExactly("event", "event", "end");
         assertThat(deliveredEvents).filteredOn(e -> e instanceof Router.FirstToken).hasSize(1);
         assertThat(((Ended) deliveredEvents.get(1)).cachedTokens()).isEqualTo(7);
@@ -44,7 +44,7 @@
         moduleFails = false;
         submit("b", new Refuse(2, 0));
         assertThat(callerEvents).containsExactly("refuse OVERLOAD 0");
-        loop.until(6_004);
+        loop.runUntil(6_004);
         assertThat(callerEvents).containsExactly("refuse OVERLOAD 0", "fail DEADLINE");
     }
 
@@ -61,7 +61,7 @@
     @Test
     void aRequestFailsAtItsDeadlineAndTheModuleIsNotified() {
         submit("a", send(WRITER));
-        loop.until(6_004);
+        loop.runUntil(6_004);
         assertThat(callerEvents).containsExactly("fail DEADLINE");
         assertThat(outcomes()).containsExactly(Outcome.TIMEOUT);
         assertThat(deliveredEvents).anyMatch(e -> e instanceof Router.Abandoned);
@@ -73,7 +73,7 @@
         submit("a", send(WRITER));
         for (int second = 2; second <= 60; second += 2) {
             sentAttempts.get(0).listener.event(new byte[1]);
-            loop.until(second * 1_000);
+            loop.runUntil(second * 1_000);
         }
         assertThat(sentAttempts.get(0).aborted).isFalse();
         sentAttempts.get(0).listener.ended(Outcome.RESET, 0);
@@ -86,12 +86,12 @@
         RequestHandle handle = submit("a", send(WRITER));
         callerWritable = false;
         sentAttempts.get(0).listener.event(new byte[1]);
-        loop.until(30_000);
+        loop.runUntil(30_000);
         assertThat(callerEvents).containsExactly("event");
         handle.writable();
-        loop.until(34_300);
+        loop.runUntil(34_300);
         assertThat(callerEvents).as("a healthy engine may pause").containsExactly("event");
-        loop.until(34_900);
+        loop.runUntil(34_900);
         assertThat(callerEvents).containsExactly("event", "broken");
         assertThat(sentAttempts.get(0).aborted).isTrue();
         assertThat(outcomes()).containsExactly(Outcome.RESET);
@@ -103,10 +103,10 @@
     void aLaggingLoopRefusesRequestsUntilItHasCaughtUp() {
         submit("a", send(WRITER));
         loop.now += 1_000;
-        loop.until(loop.now);
+        loop.runUntil(loop.now);
         submit("b");
         assertThat(callerEvents).containsExactly("refuse OVERLOAD 500");
-        loop.until(loop.now + 50);
+        loop.runUntil(loop.now + 50);
         submit("c", send(WRITER));
         assertThat(callerEvents).containsExactly("refuse OVERLOAD 500");
         assertThat(sentAttempts).hasSize(2);
@@ -129,7 +129,7 @@
         assertThat(quotas.admit(request)).isNull();
         assertThat(quotas.admit(request)).isNull();
         assertThat(quotas.admit(request)).isEqualTo(new Quotas.Denial(Caller.Why.BUDGET, 500));
-        loop.until(1_500);
+        loop.runUntil(1_500);
         assertThat(quotas.admit(request)).isNull();
     }
 }
--- a/src/test/java/maplerail/core/CancelledAttemptTest.java
+++ b/src/test/java/maplerail/core/CancelledAttemptTest.java
@@ -51,7 +51,7 @@
         enginesReachable = false;
         performActions(new Router.Fail(1), new Cancel(1, 1), new Release(1));
         assertThat(callerEvents).as("the client is answered at once").containsExactly("fail ENGINE");
-        loop.until(8_900);
+        loop.runUntil(8_900);
         assertThat(sentAttempts.get(1).aborted).isFalse();
         enginesReachable = true;
         nextActions.add(new Release(1));
@@ -79,7 +79,7 @@
         unansweredReleases.get(0).run();
         assertThat(sentAttempts.get(2).aborted).isTrue();
         assertThat(releases).contains("1/a", "3/a");
-        loop.until(60_000);
+        loop.runUntil(60_000);
         assertThat(broker.retainedRequests()).isZero();
     }
 
@@ -90,7 +90,7 @@
         sentAttempts.get(0).listener.ended(Outcome.READ, 0);
         enginesReachable = false;
         performActions(new Router.Fail(1), new Cancel(1, 1));
-        loop.until(9_100);
+        loop.runUntil(9_100);
         assertThat(sentAttempts.get(1).aborted).isTrue();
         assertThat(broker.retainedRequests()).isZero();
     }
--- a/src/test/java/maplerail/core/LostReadTest.java
+++ b/src/test/java/maplerail/core/LostReadTest.java
@@ -53,7 +53,7 @@
         fixture.unsent = true;
         double orderedMs = fixture.loop.now;
         startRead();
-        fixture.loop.until(orderedMs + 3 * PIN_LIMIT_MS);
+        fixture.loop.runUntil(orderedMs + 3 * PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).isEmpty();
     }
 
@@ -62,12 +62,12 @@
     @ValueSource(doubles = {0.1, 0.5, 0.9, 1, 1.3, 2.6})
     void anAnsweredReadStopsItsReleasesAndStartsItsLease(double readLeaseTerms) {
         EngineTransport.AnswerListener read = startRead();
-        fixture.loop.until(fixture.loop.now + readLeaseTerms * PIN_LIMIT_MS);
+        fixture.loop.runUntil(fixture.loop.now + readLeaseTerms * PIN_LIMIT_MS);
         fixture.nextActions.add(new Router.Send(1, WRITER, FAR_FUTURE_MS));
         read.ended(Outcome.READ, 0);
         fixture.releaseTimesMs.clear();
         double answeredMs = fixture.loop.now;
-        fixture.loop.until(answeredMs + 2 * PIN_LIMIT_MS);
+        fixture.loop.runUntil(answeredMs + 2 * PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).containsExactly(answeredMs + PIN_LIMIT_MS);
     }
 
@@ -75,12 +75,12 @@
     @ValueSource(doubles = {0.1, 0.9, 1, 2.6})
     void aStateIsNotReleasedOnceItsWriteIsBeingAnswered(double readLeaseTerms) {
         EngineTransport.AnswerListener read = startRead();
-        fixture.loop.until(fixture.loop.now + readLeaseTerms * PIN_LIMIT_MS);
+        fixture.loop.runUntil(fixture.loop.now + readLeaseTerms * PIN_LIMIT_MS);
         fixture.nextActions.add(new Router.Send(1, WRITER, FAR_FUTURE_MS));
         read.ended(Outcome.READ, 0);
         fixture.responseStarted = true;
         fixture.releaseTimesMs.clear();
-        fixture.loop.until(fixture.loop.now + 3 * PIN_LIMIT_MS);
+        fixture.loop.runUntil(fixture.loop.now + 3 * PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).isEmpty();
     }
 
@@ -109,9 +109,9 @@
     void releasesFollowAnAbortedReadUntilTheDeadlineGivenToItsReader(AbortCause cause) {
         double sentMs = fixture.loop.now;
         EngineTransport.AnswerListener read = startRead();
-        fixture.loop.until(sentMs + ABORT_DELAY_MS);
+        fixture.loop.runUntil(sentMs + ABORT_DELAY_MS);
         abort(cause, read);
-        fixture.loop.until(sentMs + 2 * DEADLINE_MS);
+        fixture.loop.runUntil(sentMs + 2 * DEADLINE_MS);
         assertReleasedWithin(PIN_LIMIT_MS + RELEASE_SLACK_MS, sentMs + ABORT_DELAY_MS, sentMs + DEADLINE_MS);
     }
 
@@ -121,15 +121,15 @@
     void theStateOfASecondReadAtTheSameReaderIsKeptForItsWrite(AbortCause cause) {
         double sentMs = fixture.loop.now;
         EngineTransport.AnswerListener read = startRead();
-        fixture.loop.until(sentMs + ABORT_DELAY_MS);
+        fixture.loop.runUntil(sentMs + ABORT_DELAY_MS);
         abort(cause, read, new Router.Send(1, READER, FAR_FUTURE_MS));
         assertThat(fixture.listeners).hasSize(2);
-        fixture.loop.until(sentMs + 2 * ABORT_DELAY_MS);
+        fixture.loop.runUntil(sentMs + 2 * ABORT_DELAY_MS);
         fixture.nextActions.add(new Router.Send(1, WRITER, FAR_FUTURE_MS));
         fixture.lastListener().ended(Outcome.READ, 0);
         fixture.releaseTimesMs.clear();
         double answeredMs = fixture.loop.now;
-        fixture.loop.until(answeredMs + PIN_LIMIT_MS);
+        fixture.loop.runUntil(answeredMs + PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).containsExactly(answeredMs + PIN_LIMIT_MS);
     }
 }
--- a/src/test/java/maplerail/core/LostWriteTest.java
+++ b/src/test/java/maplerail/core/LostWriteTest.java
@@ -27,7 +27,7 @@
     private EngineTransport.AnswerListener startWrite(int number) {
         fixture.submit("a" + number, new Router.Send(number, READER, FAR_FUTURE_MS));
         EngineTransport.AnswerListener read = fixture.lastListener();
-        fixture.loop.until(fixture.loop.now + READ_DURATION_MS);
+        fixture.loop.runUntil(fixture.loop.now + READ_DURATION_MS);
         fixture.nextActions.add(new Router.Send(number, WRITER, FAR_FUTURE_MS));
         read.ended(Outcome.READ, 0);
         return fixture.lastListener();
@@ -37,7 +37,7 @@
     void aStateIsReleasedInTimeIfItsWriteIsLostOnAReusedConnection() {
         startWrite(1);
         double readEndedMs = fixture.loop.now;
-        fixture.loop.until(readEndedMs + PIN_LIMIT_MS);
+        fixture.loop.runUntil(readEndedMs + PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).isNotEmpty();
         assertThat(fixture.releaseTimesMs.get(0)).isLessThan(readEndedMs + PIN_LIMIT_MS + RELEASE_SLACK_MS / 2);
     }
@@ -53,7 +53,7 @@
         fixture.lastListener().event(new byte[1]);
         fixture.lastListener().ended(Outcome.SERVED, 0);
         double servedMs = fixture.loop.now;
-        fixture.loop.until(servedMs + 1_000);
+        fixture.loop.runUntil(servedMs + 1_000);
         assertThat(fixture.releaseTimesMs).hasSizeGreaterThan(1);
         assertThat(fixture.releaseTimesMs.get(0)).isEqualTo(servedMs);
     }
@@ -63,12 +63,12 @@
     void aStateIsKeptOnlyForAWriteWhoseAnswerHasStarted() {
         fixture.responseStarted = true;
         startWrite(1);
-        fixture.loop.until(fixture.loop.now + 3 * PIN_LIMIT_MS);
+        fixture.loop.runUntil(fixture.loop.now + 3 * PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).isEmpty();
         fixture.responseStarted = false;
         startWrite(2);
         double readEndedMs = fixture.loop.now;
-        fixture.loop.until(readEndedMs + 3 * PIN_LIMIT_MS);
+        fixture.loop.runUntil(readEndedMs + 3 * PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).contains(readEndedMs + PIN_LIMIT_MS);
     }
 
@@ -76,14 +76,14 @@
     void aStateIsReleasedInTimeThoughWritersUsuallyTakeNearlyAsLong() {
         for (int number = 1; number <= 5; number++) {
             EngineTransport.AnswerListener write = startWrite(number);
-            fixture.loop.until(fixture.loop.now + 0.6 * PIN_LIMIT_MS);
+            fixture.loop.runUntil(fixture.loop.now + 0.6 * PIN_LIMIT_MS);
             write.event(new byte[1]);
             write.ended(Outcome.SERVED, 0);
         }
         assertThat(fixture.releaseTimesMs).as("a stream that has started has fetched its state").isEmpty();
         startWrite(6);
         double readEndedMs = fixture.loop.now;
-        fixture.loop.until(readEndedMs + 1.5 * PIN_LIMIT_MS);
+        fixture.loop.runUntil(readEndedMs + 1.5 * PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).containsExactly(readEndedMs + PIN_LIMIT_MS);
     }
 
@@ -96,9 +96,9 @@
     void aWriteThatEndsUnansweredDoesNotExtendTheLease(Outcome outcome) {
         EngineTransport.AnswerListener first = startWrite(1);
         double readEndedMs = fixture.loop.now;
-        fixture.loop.until(readEndedMs + 0.8 * PIN_LIMIT_MS);
+        fixture.loop.runUntil(readEndedMs + 0.8 * PIN_LIMIT_MS);
         first.ended(outcome, 0);
-        fixture.loop.until(readEndedMs + 2 * PIN_LIMIT_MS);
+        fixture.loop.runUntil(readEndedMs + 2 * PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).isNotEmpty();
         assertThat(fixture.releaseTimesMs.get(0)).isLessThanOrEqualTo(readEndedMs + PIN_LIMIT_MS);
     }
@@ -108,12 +108,12 @@
     void aRefusalByAWriterRenewsTheLease() {
         EngineTransport.AnswerListener first = startWrite(1);
         double readEndedMs = fixture.loop.now;
-        fixture.loop.until(readEndedMs + 0.8 * PIN_LIMIT_MS);
+        fixture.loop.runUntil(readEndedMs + 0.8 * PIN_LIMIT_MS);
         fixture.nextActions.add(new Router.Send(1, WRITER, FAR_FUTURE_MS));
         first.ended(Outcome.FULL, 0);
-        fixture.loop.until(readEndedMs + 1.7 * PIN_LIMIT_MS);
+        fixture.loop.runUntil(readEndedMs + 1.7 * PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).isEmpty();
-        fixture.loop.until(readEndedMs + 2 * PIN_LIMIT_MS);
+        fixture.loop.runUntil(readEndedMs + 2 * PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).containsExactly(readEndedMs + 1.8 * PIN_LIMIT_MS);
     }
 
@@ -123,7 +123,7 @@
         fixture.loop.behindMs = 0.4 * PIN_LIMIT_MS;
         startWrite(1);
         double readAnsweredMs = fixture.loop.now - fixture.loop.behindMs;
-        fixture.loop.until(fixture.loop.now + PIN_LIMIT_MS);
+        fixture.loop.runUntil(fixture.loop.now + PIN_LIMIT_MS);
         assertThat(fixture.releaseTimesMs).containsExactly(readAnsweredMs + PIN_LIMIT_MS);
     }
 }
--- a/src/test/java/maplerail/core/WithdrawnAttemptTest.java
+++ b/src/test/java/maplerail/core/WithdrawnAttemptTest.java
@@ -26,14 +26,14 @@
     void anAttemptNotSentByItsStartLimitIsWithdrawn() {
         unsent = true;
         submit("a", new Router.Send(1, WRITER, 0, 1_300));
-        loop.until(1_299);
+        loop.runUntil(1_299);
         assertThat(sentAttempts.get(0).aborted).isFalse();
-        loop.until(1_300);
+        loop.runUntil(1_300);
         assertThat(sentAttempts.get(0).aborted).isTrue();
         assertThat(outcomes()).containsExactly(Outcome.UNREACHABLE);
         unsent = false;
         submit("b", new Router.Send(2, WRITER, 0, 1_500));
-        loop.until(1_600);
+        loop.runUntil(1_600);
         assertThat(sentAttempts.get(1).aborted).as("it was sent in time").isFalse();
     }
 
--- a/src/test/java/maplerail/support/ManualLoop.java
+++ b/src/test/java/maplerail/support/ManualLoop.java
@@ -41,7 +41,7 @@
     }
 
     /** Advances the clock to a time and runs the tasks that become due until then. */
-    public void until(double timeMs) {
+    public void runUntil(double timeMs) {
         while (!due.isEmpty() && due.peek().atMs <= timeMs) {
             DueTask next = due.poll();
             now = Math.max(now, next.atMs);
