--- a/src/test/java/maplerail/cli/AbandonedRequestIT.java
+++ b/src/test/java/maplerail/cli/AbandonedRequestIT.java
@@ -39,9 +39,9 @@
             exchange.awaitClose();
         });
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer);
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             int port = gateway.readyPort();
             long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
             int abandoned = 0;
--- a/src/test/java/maplerail/cli/DeadlineHeaderIT.java
+++ b/src/test/java/maplerail/cli/DeadlineHeaderIT.java
@@ -65,9 +65,9 @@
                     exchange.chunk("data: [DONE]\n\n");
                     exchange.endStream();
                 });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer);
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             scenario.run(gateway, gateway.readyPort());
             GatewayFixture.await("requests passed on", () -> excessMs.size() >= minRequests);
             assertThat(excessMs.values()).as("deadline header above what was left, ms")
--- a/src/test/java/maplerail/cli/DeclinedWriteIT.java
+++ b/src/test/java/maplerail/cli/DeclinedWriteIT.java
@@ -52,10 +52,10 @@
     private void assertReleasedInTime(String firstText, String piece, String kind) throws Exception {
         try (SilentReader reader = new SilentReader(SilentReader::answer);
                 StandIn writer = writer(reader, firstText.replace("|", "\r\n"), piece);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader.address(), "in_service")
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader.address(), "in_service")
                         .engine("w", "decode",
                                 writer);
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             gateway.readyPort();
             CompletableFuture.runAsync(() -> gateway.exchange(GatewayFixture.request("a1", kind, LONG_DEADLINE_S)));
             reader.times.assertReleasedInTime("a1");
--- a/src/test/java/maplerail/cli/DrainTest.java
+++ b/src/test/java/maplerail/cli/DrainTest.java
@@ -28,23 +28,24 @@
             x.chunk("data: 1\n\n");
             streams.add(x);
         });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start();
-                Socket before = world.connect();
-                Socket after = world.connect()) {
+                Socket before = fixture.connect();
+                Socket after = fixture.connect()) {
             send(before, request("a1", "lookup", "5.0"));
             StandIn.Exchange first = take(streams);
-            world.gateway.drain();
-            await("draining", () -> world.gateway.phase() == Phase.DRAINING);
+            fixture.gateway.drain();
+            await("draining", () -> fixture.gateway.phase() == Phase.DRAINING);
             send(after, request("a2", "lookup", "5.0"));
             for (StandIn.Exchange stream : new StandIn.Exchange[] {first, take(streams)}) {
                 stream.chunk("data: [DONE]\n\n");
                 stream.endStream();
             }
-            world.gateway.join();
+            fixture.gateway.join();
             assertThat(GatewayFixture.readAll(before.getInputStream())).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
             assertThat(GatewayFixture.readAll(after.getInputStream())).contains("[DONE]").endsWith("\r\n0\r\n\r\n");
-            assertThat(world.gateway.phase()).isEqualTo(Phase.STOPPED);
+            assertThat(fixture.gateway.phase()).isEqualTo(Phase.STOPPED);
         }
     }
 
@@ -57,18 +58,19 @@
             x.chunk("data: 1\n\n");
             streams.add(x);
         });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start();
-                Socket client = world.connect()) {
+                Socket client = fixture.connect()) {
             send(client, request("a1", "lookup", "5.0"));
             StandIn.Exchange first = take(streams);
-            world.gateway.drain();
-            await("no more requests are accepted", () -> !world.gateway.phase().acceptsRequests());
+            fixture.gateway.drain();
+            await("no more requests are accepted", () -> !fixture.gateway.phase().acceptsRequests());
             send(client, request("a2", "lookup", "5.0"));
             first.chunk("data: [DONE]\n\n");
             first.endStream();
             assertThat(GatewayFixture.readAll(client.getInputStream())).contains("[DONE]", "\r\n0\r\n\r\nHTTP/1.1 503");
-            world.gateway.join();
+            fixture.gateway.join();
             assertThat(reader.count("POST")).isEqualTo(1);
         }
     }
@@ -82,11 +84,12 @@
             x.startStream();
             streams.add(x);
         });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start();
-                Socket client = world.connect()) {
-            world.gateway.drain();
-            await("draining", () -> world.gateway.phase() == Phase.DRAINING);
+                Socket client = fixture.connect()) {
+            fixture.gateway.drain();
+            await("draining", () -> fixture.gateway.phase() == Phase.DRAINING);
             send(client, request("a1", "lookup", "60"));
             StandIn.Exchange stream = take(streams);
             send(client, request("a2", "lookup", "60") + request("a3", "lookup", "60").substring(0, 40));
@@ -106,20 +109,21 @@
             x.chunk("data: 1\n\n");
             streams.add(x);
         });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
-            Socket abandoned = world.connect();
+            Socket abandoned = fixture.connect();
             send(abandoned, request("a1", "lookup", "5.0"));
             take(streams);
             abandoned.close();
-            Socket broken = world.connect();
+            Socket broken = fixture.connect();
             send(broken, request("a2", "lookup", "5.0"));
             take(streams).reset();
             assertThat(GatewayFixture.readAll(broken.getInputStream())).doesNotContain("\r\n0\r\n");
-            world.gateway.drain();
+            fixture.gateway.drain();
             Thread joiner = new Thread(() -> {
                 try {
-                    world.gateway.join();
+                    fixture.gateway.join();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -127,7 +131,7 @@
             joiner.setDaemon(true);
             joiner.start();
             joiner.join(20_000);
-            assertThat(world.gateway.phase()).isEqualTo(Phase.STOPPED);
+            assertThat(fixture.gateway.phase()).isEqualTo(Phase.STOPPED);
         }
     }
 
@@ -140,22 +144,22 @@
             exchange.reply(exchange.method.equals("DELETE") ? 204 : 202, "");
         });
                 StoppableEngine writer = new StoppableEngine(StandIn.Exchange::awaitClose);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
                         .engine("w", "decode", writer.address(),
                                 "in_service")
                         .start();
-                Socket client = world.connect()) {
+                Socket client = fixture.connect()) {
             writer.stop();
             send(client, request("a1", "repair-order", "1.0"));
             await("the release is sent", () -> reader.count("DELETE") > 0);
-            world.gateway.drain();
+            fixture.gateway.drain();
             assertThat(GatewayFixture.readAll(client.getInputStream())).startsWith("HTTP/1.1 5");
             long answeredNanos = System.nanoTime();
             await("several polls", () -> System.nanoTime() - answeredNanos > 200_000_000L);
-            assertThat(world.gateway.phase()).isNotEqualTo(Phase.STOPPED);
+            assertThat(fixture.gateway.phase()).isNotEqualTo(Phase.STOPPED);
             answered.countDown();
-            world.gateway.join();
-            assertThat(world.gateway.phase()).isEqualTo(Phase.STOPPED);
+            fixture.gateway.join();
+            assertThat(fixture.gateway.phase()).isEqualTo(Phase.STOPPED);
         }
     }
 }
--- a/src/test/java/maplerail/cli/FinalAnswerIT.java
+++ b/src/test/java/maplerail/cli/FinalAnswerIT.java
@@ -146,8 +146,9 @@
     private void assertAnsweredInTime(StandIn.Handler reader, StandIn.Handler writer) throws Exception {
         try (StandIn reads = engine(reader);
                 StandIn writes = engine(writer);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode",
+                        writes);
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             assertInTime(sendAll(gateway.readyPort()), gateway);
         }
     }
@@ -173,10 +174,10 @@
     void aRequestWhoseWriterAcceptsNoConnectionGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
                 FullBacklog writer = new FullBacklog();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer.address(),
                         "in_service");
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             assertInTime(sendAll(gateway.readyPort()), gateway);
         }
     }
@@ -185,9 +186,10 @@
     void aRequestWithoutAWriterGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer,
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer,
                         "terminating");
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             assertInTime(sendAll(gateway.readyPort()), gateway);
         }
     }
@@ -197,9 +199,9 @@
     void aRequestSentWhileTheProcessIsStoppedGetsItsFinalAnswer() throws Exception {
         try (StandIn reader = engine(FinalAnswerIT::read);
                 StandIn writer = engine(NO_ANSWER::handle);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer);
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             int port = gateway.readyPort();
             gateway.signal("STOP");
             Map<String, CompletableFuture<Outcome>> outcomes = sendAll(port);
--- a/src/test/java/maplerail/cli/HeldStateIT.java
+++ b/src/test/java/maplerail/cli/HeldStateIT.java
@@ -52,10 +52,10 @@
         });
     }
 
-    private static GatewayFixture world(StandIn reader, String... writers) throws Exception {
-        GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader);
-        for (int i = 0; i < writers.length; i++) world.engine("w" + i, "decode", writers[i], "in_service");
-        return world;
+    private static GatewayFixture newFixture(StandIn reader, String... writers) throws Exception {
+        GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader);
+        for (int i = 0; i < writers.length; i++) fixture.engine("w" + i, "decode", writers[i], "in_service");
+        return fixture;
     }
 
     /** The connection is established by the kernel's backlog, so it does not prove that the writer runs. */
@@ -63,8 +63,8 @@
     void aStateIsReleasedInTimeThoughAConnectionToTheStoppedWriterIsEstablished() throws Exception {
         try (StandIn reader = reader();
                 StoppableEngine writer = writer(0);
-                GatewayFixture world = world(reader, writer.address());
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayFixture fixture = newFixture(reader, writer.address());
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             gateway.readyPort();
             writer.stop();
             gateway.exchange(GatewayFixture.request("a1", "repair-order", "1.5"));
@@ -77,8 +77,8 @@
     void aStateIsReleasedInTimeThoughWritersAreUsuallySlow() throws Exception {
         try (StandIn reader = reader();
                 StoppableEngine writer = writer(300);
-                GatewayFixture world = world(reader, writer.address());
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayFixture fixture = newFixture(reader, writer.address());
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             gateway.readyPort();
             for (int i = 0; i < WARM_REQUESTS; i++) {
                 assertThat(gateway.exchange(GatewayFixture.request("warm" + i, "repair-order", "5.0")))
@@ -97,8 +97,8 @@
                 FullBacklog unreachable = new FullBacklog();
                 StoppableEngine one = writer(0);
                 StoppableEngine other = writer(0);
-                GatewayFixture world = world(reader, unreachable.address(), one.address(), other.address());
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayFixture fixture = newFixture(reader, unreachable.address(), one.address(), other.address());
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             gateway.readyPort();
             one.stop();
             other.stop();
--- a/src/test/java/maplerail/cli/JarIT.java
+++ b/src/test/java/maplerail/cli/JarIT.java
@@ -35,9 +35,9 @@
         return program.log();
     }
 
-    private Process startWithFewDescriptors(GatewayFixture world) throws Exception {
+    private Process startWithFewDescriptors(GatewayFixture fixture) throws Exception {
         Path config = folder.resolve("config.json");
-        Files.writeString(config, world.config("127.0.0.1:0"));
+        Files.writeString(config, fixture.config("127.0.0.1:0"));
         return start("ulimit -n " + FEW_DESCRIPTORS + "; " + GatewayProgram.command("run"), config.toString());
     }
 
@@ -48,9 +48,11 @@
             x.startStream();
             x.chunk("data: 1\n\n");
             streams.add(x);
-        }); GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)) {
+        });
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                        writer)) {
             Path config = folder.resolve("config.json");
-            Files.writeString(config, world.config("127.0.0.1:0"));
+            Files.writeString(config, fixture.config("127.0.0.1:0"));
             long startNanos = System.nanoTime();
             Process gateway = start(GatewayProgram.command("run"), config.toString());
             try {
@@ -88,14 +90,14 @@
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(startStream);
                 StandIn nextWriter = new StandIn(startStream);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer);
                 GatewayFixture next = new GatewayFixture().engine("r", "prefill", reader).engine("w2", "decode",
                         nextWriter)) {
             Path config = folder.resolve("config.json");
-            Files.writeString(config, world.config("127.0.0.1:0"));
+            Files.writeString(config, fixture.config("127.0.0.1:0"));
             Process gateway = start(
-                    "RELAY_DISCOVERY=" + world.discovery().address() + " " + GatewayProgram.command("run"),
+                    "RELAY_DISCOVERY=" + fixture.discovery().address() + " " + GatewayProgram.command("run"),
                     config.toString());
             try {
                 await("listening", () -> program.port() > 0);
@@ -137,12 +139,12 @@
     void aConfigurationThatCannotBeReadAtTheSignalIsRetried() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer);
                 GatewayFixture next = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer)) {
             Path config = folder.resolve("config.json");
-            Files.writeString(config, world.config("127.0.0.1:0"));
+            Files.writeString(config, fixture.config("127.0.0.1:0"));
             Process gateway = start(GatewayProgram.command("run"), config.toString());
             try {
                 await("listening", () -> program.port() > 0);
@@ -166,9 +168,9 @@
     void aGatewayThatRanOutOfDescriptorsAcceptsAgainOnceSomeAreFree() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer)) {
-            Process gateway = startWithFewDescriptors(world);
+            Process gateway = startWithFewDescriptors(fixture);
             List<Socket> silent = new ArrayList<>();
             try {
                 int port = program.readyPort();
@@ -196,9 +198,9 @@
             x.reply(202, "{\"cached_tokens\":0}");
         });
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer)) {
-            Process gateway = startWithFewDescriptors(world);
+            Process gateway = startWithFewDescriptors(fixture);
             List<Socket> silent = new ArrayList<>();
             try {
                 int port = program.readyPort();
--- a/src/test/java/maplerail/cli/LostReadIT.java
+++ b/src/test/java/maplerail/cli/LostReadIT.java
@@ -36,16 +36,16 @@
     @TempDir
     Path folder;
 
-    private GatewayProgram gateway(GatewayFixture world) throws Exception {
-        GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"));
+    private GatewayProgram gateway(GatewayFixture fixture) throws Exception {
+        GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"));
         gateway.readyPort();
         return gateway;
     }
 
-    private static GatewayFixture world(StandIn writer, SilentReader... readers) throws Exception {
-        GatewayFixture world = new GatewayFixture().engine("w", "decode", writer);
-        for (int i = 0; i < readers.length; i++) world.engine("r" + i, "prefill", readers[i].address(), "in_service");
-        return world;
+    private static GatewayFixture newFixture(StandIn writer, SilentReader... readers) throws Exception {
+        GatewayFixture fixture = new GatewayFixture().engine("w", "decode", writer);
+        for (int i = 0; i < readers.length; i++) fixture.engine("r" + i, "prefill", readers[i].address(), "in_service");
+        return fixture;
     }
 
     private static CompletableFuture<String> send(GatewayProgram gateway, String id, String kind) {
@@ -59,8 +59,8 @@
     void aStateWhoseReadIsNeverAnsweredIsLetGoInTime(int readMs, String kind) throws Exception {
         try (SilentReader reader = new SilentReader((r, read) -> r.loseAnswer(read, readMs, ""));
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = world(writer, reader);
-                GatewayProgram gateway = gateway(world)) {
+                GatewayFixture fixture = newFixture(writer, reader);
+                GatewayProgram gateway = gateway(fixture)) {
             send(gateway, "a1", kind);
             reader.times.assertReleasedInTime("a1");
         }
@@ -80,8 +80,8 @@
             r.answer(read);
         });
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = world(writer, reader);
-                GatewayProgram gateway = gateway(world)) {
+                GatewayFixture fixture = newFixture(writer, reader);
+                GatewayProgram gateway = gateway(fixture)) {
             CompletableFuture<?>[] warm = new CompletableFuture<?>[KEPT_CONNECTIONS];
             for (int i = 0; i < warm.length; i++) warm[i] = send(gateway, "warm" + i, "lookup");
             CompletableFuture.allOf(warm).get(TEST_TIMEOUT_S, TimeUnit.SECONDS);
@@ -105,8 +105,8 @@
     private void assertReleasedInTimeAfterPartOfAnswer(String partOfAnswer) throws Exception {
         try (SilentReader reader = new SilentReader((r, read) -> r.loseAnswer(read, 300, partOfAnswer));
                 StandIn writer = fetchingWriter(reader);
-                GatewayFixture world = world(writer, reader);
-                GatewayProgram gateway = gateway(world)) {
+                GatewayFixture fixture = newFixture(writer, reader);
+                GatewayProgram gateway = gateway(fixture)) {
             send(gateway, "a1", "repair-order");
             reader.times.assertReleasedInTime("a1");
         }
@@ -136,8 +136,8 @@
             r.loseAnswer(read, readMs, "");
         });
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = world(writer, reader);
-                GatewayProgram gateway = gateway(world)) {
+                GatewayFixture fixture = newFixture(writer, reader);
+                GatewayProgram gateway = gateway(fixture)) {
             Socket client = new Socket("127.0.0.1", gateway.port());
             client.getOutputStream()
                     .write(GatewayFixture.request("a1", "lookup", LONG_DEADLINE_S).getBytes(StandardCharsets.UTF_8));
@@ -175,8 +175,8 @@
         try (SilentReader one = new SilentReader(loseOnce);
                 SilentReader other = new SilentReader(loseOnce);
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = world(writer, one, other);
-                GatewayProgram gateway = gateway(world)) {
+                GatewayFixture fixture = newFixture(writer, one, other);
+                GatewayProgram gateway = gateway(fixture)) {
             for (int i = 0; i < WARM_REQUESTS; i++) {
                 assertThat(send(gateway, "warm" + i, "lookup").get(TEST_TIMEOUT_S, TimeUnit.SECONDS))
                         .contains("[DONE]");
--- a/src/test/java/maplerail/cli/MainTest.java
+++ b/src/test/java/maplerail/cli/MainTest.java
@@ -38,8 +38,8 @@
 
     private String config() throws Exception {
         try (StandIn engine = GatewayFixture.reader();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", engine)) {
-            return world.config("127.0.0.1:0");
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", engine)) {
+            return fixture.config("127.0.0.1:0");
         }
     }
 
--- a/src/test/java/maplerail/cli/ReleaseOutOfReachIT.java
+++ b/src/test/java/maplerail/cli/ReleaseOutOfReachIT.java
@@ -63,9 +63,9 @@
     void aStateIsLetGoInTimeThoughItsReaderIsOutOfReachOnceItsRequestIsOver(String kind) throws Exception {
         try (StandIn reader = unreachableReader();
                 StandIn writer = queueingWriter();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer);
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             gateway.readyPort();
             CompletableFuture.runAsync(() -> gateway.exchange(GatewayFixture.request("a1", kind, DEADLINE_S)));
             times.assertReleasedInTime("a1");
--- a/src/test/java/maplerail/cli/RequestLogIT.java
+++ b/src/test/java/maplerail/cli/RequestLogIT.java
@@ -29,9 +29,9 @@
                     x.chunk("data: 1\n\n");
                     streams.add(x);
                 });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer);
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"));
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"));
                 Socket client = new Socket("127.0.0.1", gateway.readyPort())) {
             String requests = GatewayFixture.request("a1", "lookup", "5.0")
                     + GatewayFixture.request("a2", "lookup", "5.0");
--- a/src/test/java/maplerail/cli/SlowEngineIT.java
+++ b/src/test/java/maplerail/cli/SlowEngineIT.java
@@ -45,14 +45,14 @@
         });
     }
 
-    private static String config(GatewayFixture world) {
-        String config = world.config("127.0.0.1:0");
+    private static String config(GatewayFixture fixture) {
+        String config = fixture.config("127.0.0.1:0");
         assertThat(config).contains("\"pinLimitMs\":500.0");
         return config.replace("\"pinLimitMs\":500.0", "\"pinLimitMs\":250.0");
     }
 
-    private GatewayProgram gateway(GatewayFixture world) throws Exception {
-        GatewayProgram gateway = GatewayProgram.serve(folder, config(world));
+    private GatewayProgram gateway(GatewayFixture fixture) throws Exception {
+        GatewayProgram gateway = GatewayProgram.serve(folder, config(fixture));
         gateway.readyPort();
         return gateway;
     }
@@ -64,8 +64,9 @@
     private void assertServed(StandIn.Handler reader, StandIn.Handler writer) throws Exception {
         try (StandIn reads = engine(reader);
                 StandIn writes = engine(writer);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
-                GatewayProgram gateway = gateway(world)) {
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode",
+                        writes);
+                GatewayProgram gateway = gateway(fixture)) {
             String answer = gateway.exchange(GatewayFixture.request("a1", "repair-order", "6.0"));
             assertThat(answer).as(gateway.log()).startsWith("HTTP/1.1 200").contains("slowly").contains("[DONE]")
                     .endsWith("\r\n0\r\n\r\n");
@@ -137,8 +138,9 @@
                     stalledMs.set(nowMs());
                     x.awaitClose();
                 });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
-                GatewayProgram gateway = gateway(world);
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode",
+                        writes);
+                GatewayProgram gateway = gateway(fixture);
                 Socket client = new Socket("127.0.0.1", gateway.port())) {
             client.getOutputStream().write(GatewayFixture.request("a1", "repair-order", "6.0").getBytes());
             String answer = GatewayFixture.readAll(client.getInputStream());
@@ -173,8 +175,9 @@
             x.awaitClose();
         });
                 StandIn writes = engine(x -> x.reply(500, ""));
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode", writes);
-                GatewayProgram gateway = gateway(world)) {
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reads).engine("w", "decode",
+                        writes);
+                GatewayProgram gateway = gateway(fixture)) {
             assertThat(gateway.exchange(GatewayFixture.request("a1", "repair-order", "2.0"))).startsWith("HTTP/1.1 ");
             await("released", () -> reads.count("DELETE") > 0);
             for (int i = 1; i < callTimesMs.size(); i++) {
--- a/src/test/java/maplerail/cli/UnansweredReleaseIT.java
+++ b/src/test/java/maplerail/cli/UnansweredReleaseIT.java
@@ -86,10 +86,11 @@
         try (StandIn one = reader();
                 StandIn other = reader();
                 StandIn writer = writer();
-                GatewayFixture world = new GatewayFixture().engine("r0", "prefill", one).engine("r1", "prefill", other)
+                GatewayFixture fixture = new GatewayFixture().engine("r0", "prefill", one)
+                        .engine("r1", "prefill", other)
                         .engine("w",
                                 "decode", writer);
-                GatewayProgram gateway = GatewayProgram.serve(folder, world.config("127.0.0.1:0"))) {
+                GatewayProgram gateway = GatewayProgram.serve(folder, fixture.config("127.0.0.1:0"))) {
             gateway.readyPort();
             for (int i = 0; i < WARM_REQUESTS; i++) {
                 assertThat(gateway.exchange(GatewayFixture.request("warm" + i, "lookup", "5.0"))).contains("[DONE]");
--- a/src/test/java/maplerail/discovery/PlatformWatchTest.java
+++ b/src/test/java/maplerail/discovery/PlatformWatchTest.java
@@ -34,9 +34,10 @@
                     if (atNanos.size() > 1) x.reply(503, "overloaded");
                     else x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
                 });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .withDiscovery(agent)) {
-            world.start();
+            fixture.start();
             await("repeated calls", () -> atNanos.size() >= 4);
             assertThat(agent.seen.subList(1, 4)).allMatch(seen -> seen.startsWith("GET /api/targets?index=7&"));
             // Two delays of 50 ms at least.
@@ -58,12 +59,13 @@
                         default -> x.awaitClose();
                     }
                 });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .withDiscovery(agent)) {
-            world.start();
+            fixture.start();
             await("called again", () -> requestCount.get() >= 5);
             assertThat(agent.seen.subList(1, 5)).as("requests for the whole list").containsOnly("GET /api/targets");
-            assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
+            assertThat(fixture.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
         }
     }
 
@@ -78,9 +80,10 @@
                     if (atNanos.size() > 1) x.awaitClose();
                     else x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
                 });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .withDiscovery(agent)) {
-            world.start();
+            fixture.start();
             await("called on a new connection", () -> atNanos.size() >= 3);
             assertThat(atNanos.get(2) - atNanos.get(1)).isLessThan(4_500_000_000L);
         }
@@ -94,8 +97,8 @@
             if (!x.target.equals("/api/targets")) x.awaitClose();
             x.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
             x.writeSlowly(list, 5_000);
-        }); GatewayFixture world = new GatewayFixture().withDiscovery(agent)) {
-            String unknown = world.config("127.0.0.1:0").replaceFirst("\"known\":\\{.*?\\]\\},", "");
+        }); GatewayFixture fixture = new GatewayFixture().withDiscovery(agent)) {
+            String unknown = fixture.config("127.0.0.1:0").replaceFirst("\"known\":\\{.*?\\]\\},", "");
             assertThat(unknown).doesNotContain("known");
             Gateway gateway = new Gateway(NodeConfig.read(unknown, Map.of()), null);
             try {
@@ -120,8 +123,8 @@
             }
             x.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             x.writeSlowly(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n0\r\n\r\n", 1_000);
-        }); GatewayFixture world = new GatewayFixture().withDiscovery(agent)) {
-            world.startWithoutWaiting();
+        }); GatewayFixture fixture = new GatewayFixture().withDiscovery(agent)) {
+            fixture.startWithoutWaiting();
             await("called again", () -> requestCount.get() > 1);
             assertThat(agent.seen.get(1)).startsWith("GET /api/targets?index=7&");
         }
@@ -136,8 +139,8 @@
             if (atNanos.size() == 1) x.reply(200, "{\"seq\":7,\"whole\":true,\"hosts\":[]}");
             else x.write("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"seq\":9,");
             if (atNanos.size() > 1) x.awaitClose();
-        }); GatewayFixture world = new GatewayFixture().withDiscovery(agent)) {
-            world.start();
+        }); GatewayFixture fixture = new GatewayFixture().withDiscovery(agent)) {
+            fixture.start();
             await("called on a new connection", () -> atNanos.size() >= 3);
             assertThat(atNanos.get(2) - atNanos.get(1)).isLessThan(4_500_000_000L);
         }
@@ -148,11 +151,11 @@
     void nodeContinuesFromItsKnownList() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode",
                         writer)) {
-            world.start();
-            await("first call", () -> world.discovery().seen.size() > 0);
-            assertThat(world.discovery().seen.get(0)).startsWith("GET /api/targets?index=3&");
+            fixture.start();
+            await("first call", () -> fixture.discovery().seen.size() > 0);
+            assertThat(fixture.discovery().seen.get(0)).startsWith("GET /api/targets?index=3&");
         }
     }
 
@@ -167,27 +170,27 @@
                     if (x.target.endsWith("wait=0")) firstRequests.add(x);
                     else x.awaitClose();
                 });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
                         .engine("w1", "decode", writer)
                         .engine("w2", "decode", other).withDiscovery(agent)) {
-            world.startWithoutWaiting();
+            fixture.startWithoutWaiting();
             StandIn.Exchange firstRequest = take(firstRequests);
-            assertThat(world.gateway.phase()).isEqualTo(Phase.STARTING);
-            Socket client = world.connect();
+            assertThat(fixture.gateway.phase()).isEqualTo(Phase.STARTING);
+            Socket client = fixture.connect();
             String ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
             client.getOutputStream().write(ready.getBytes(StandardCharsets.UTF_8));
             assertThat(new String(client.getInputStream().readNBytes(12), StandardCharsets.UTF_8)).endsWith("503");
             firstRequest.reply(200, "{\"seq\":9,\"whole\":false,\"hosts\":[{\"host\":\"w1\",\"dial\":\""
                     + writer.address()
                     + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"terminating\"}]}");
-            await("ready", () -> world.gateway.phase() == Phase.READY);
+            await("ready", () -> fixture.gateway.phase() == Phase.READY);
             String closingRequest = ready.replaceFirst("\r\n", "\r\nConnection: close\r\n");
             client.getOutputStream().write(closingRequest.getBytes(StandardCharsets.UTF_8));
             assertThat(GatewayFixture.readAll(client.getInputStream())).as("the early connection stays open")
                     .contains("HTTP/1.1 200");
             client.close();
             for (int i = 0; i < 10; i++) {
-                assertThat(world.exchange(request("a" + i, "lookup", "5.0"))).startsWith("HTTP/1.1 200");
+                assertThat(fixture.exchange(request("a" + i, "lookup", "5.0"))).startsWith("HTTP/1.1 200");
             }
             assertThat(writer.count("POST")).isZero();
         }
@@ -207,16 +210,16 @@
                     if (x.target.endsWith("wait=0")) firstRequests.add(x);
                     else x.awaitClose();
                 });
-                GatewayFixture world = new GatewayFixture().engine("r1", "prefill", draining)
+                GatewayFixture fixture = new GatewayFixture().engine("r1", "prefill", draining)
                         .engine("w", "decode", writer)
                         .withDiscovery(agent)) {
-            world.startWithoutWaiting();
+            fixture.startWithoutWaiting();
             StandIn.Exchange firstRequest = take(firstRequests);
-            try (Socket client = world.connect()) {
+            try (Socket client = fixture.connect()) {
                 String closingRequest = request("a1", "lookup", "5.0").replaceFirst("\r\n",
                         "\r\nConnection: close\r\n");
                 client.getOutputStream().write(closingRequest.getBytes(StandardCharsets.UTF_8));
-                await("request accepted", () -> world.gateway.retainedRequests() == 1);
+                await("request accepted", () -> fixture.gateway.retainedRequests() == 1);
                 firstRequest.reply(200,
                         "{\"seq\":9,\"whole\":false,\"hosts\":[" + host("r1", draining, "terminating") + ","
                                 + host("r2", started, "in_service") + "]}");
@@ -238,19 +241,19 @@
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
                 StandIn other = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
                         .engine("w1", "decode", writer, "terminating")
                         .engine("w2", "decode", other);
                 StandIn agent = new StandIn(x -> x.reply(200, requestCount.incrementAndGet() > 3
                         ? "{\"seq\":9,\"whole\":false,\"hosts\":[]}"
                         : "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"w1\",\"dial\":\"" + writer.address()
                                 + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"in_service\"}]}"));
-                GatewayFixture otherWorld = new GatewayFixture().withDiscovery(agent)) {
-            world.start();
-            await("the first list received", () -> world.discovery().count("GET /api/targets?index=") > 0);
-            world.gateway.reload(NodeConfig.read(otherWorld.config("127.0.0.1:0"), Map.of()));
+                GatewayFixture otherFixture = new GatewayFixture().withDiscovery(agent)) {
+            fixture.start();
+            await("the first list received", () -> fixture.discovery().count("GET /api/targets?index=") > 0);
+            fixture.gateway.reload(NodeConfig.read(otherFixture.config("127.0.0.1:0"), Map.of()));
             await("called again", () -> requestCount.get() > 4);
-            assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
+            assertThat(fixture.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
             assertThat(writer.count("POST")).isZero();
         }
     }
--- a/src/test/java/maplerail/front/ClientListenerTest.java
+++ b/src/test/java/maplerail/front/ClientListenerTest.java
@@ -42,8 +42,8 @@
     private static final double ANSWER_SLACK_MS = 500; // past the deadline, after which an answer counts as missing
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-    private static Socket send(GatewayFixture world, String text) throws Exception {
-        Socket socket = world.connect();
+    private static Socket send(GatewayFixture fixture, String text) throws Exception {
+        Socket socket = fixture.connect();
         socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         return socket;
@@ -58,12 +58,13 @@
             x.chunk("data: one\n\n");
             streams.add(x);
         });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start();
-                Socket complete = send(world, fullRequest);
-                Socket silent = send(world, "");
-                Socket incompleteHead = send(world, "POST / HTTP/1.1\r\nReq-");
-                Socket incompleteBody = send(world,
+                Socket complete = send(fixture, fullRequest);
+                Socket silent = send(fixture, "");
+                Socket incompleteHead = send(fixture, "POST / HTTP/1.1\r\nReq-");
+                Socket incompleteBody = send(fixture,
                         fullRequest.substring(0, fullRequest.length() - 3))) {
             StandIn.Exchange open = take(streams);
             assertThat(silent.getInputStream().read()).isNegative();
@@ -80,8 +81,8 @@
     /** An incomplete request that was pipelined after a complete one gets the same timeout as any other. */
     @Test
     void incompletePipelinedRequestTimesOut() throws Exception {
-        try (GatewayFixture world = new GatewayFixture().start();
-                Socket client = send(world, READY + "POST / HTTP/1.1\r\nReq-")) {
+        try (GatewayFixture fixture = new GatewayFixture().start();
+                Socket client = send(fixture, READY + "POST / HTTP/1.1\r\nReq-")) {
             long startNanos = System.nanoTime();
             String output = GatewayFixture.readAll(client.getInputStream());
             assertThat(System.nanoTime() - startNanos).as("time until the connection is closed, limited by TERMS")
@@ -97,9 +98,10 @@
         int body = fullRequest.indexOf("\r\n\r\n") + 4;
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start();
-                Socket client = send(world, fullRequest.substring(0, body))) {
+                Socket client = send(fixture, fullRequest.substring(0, body))) {
             for (int i = body; i < fullRequest.length(); i++) {
                 long startNanos = System.nanoTime();
                 await("some time later", () -> System.nanoTime() - startNanos > 250_000_000L);
@@ -168,14 +170,14 @@
                     x.reply(200, "{\"seq\":9,\"whole\":false,\"hosts\":[{\"host\":\"w1\",\"dial\":\"" + writer.address()
                             + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"terminating\"}]}");
                 });
-                GatewayFixture world = new GatewayFixture().sockets(128).engine("r", "prefill", reader)
+                GatewayFixture fixture = new GatewayFixture().sockets(128).engine("r", "prefill", reader)
                         .engine("w1", "decode", writer)
                         .engine("w2", "decode", other).withDiscovery(agent).start()) {
-            for (int i = 0; i < 300; i++) idle.add(world.connect());
+            for (int i = 0; i < 300; i++) idle.add(fixture.connect());
             discoveryBack.countDown();
             await("discovery is asked for changes", () -> agent.count("GET /api/targets?index=9&") > 0);
             for (int i = 0; i < 5; i++) {
-                assertThat(world.exchange(request("a" + i, "lookup", "20.0"))).startsWith("HTTP/1.1 200");
+                assertThat(fixture.exchange(request("a" + i, "lookup", "20.0"))).startsWith("HTTP/1.1 200");
             }
             assertThat(writer.count("POST")).as("requests at the draining engine").isZero();
             assertThat(other.count("POST")).isEqualTo(5);
@@ -214,14 +216,14 @@
             x.reply(x.method.equals("POST") ? 202 : 204, "{\"cached_tokens\":0}");
         });
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().sockets(256).engine("r", "prefill", reader)
+                GatewayFixture fixture = new GatewayFixture().sockets(256).engine("r", "prefill", reader)
                         .engine("w", "decode", writer)
                         .start()) {
             List<Thread> threads = new ArrayList<>();
-            for (int i = 0; i < INCOMPLETE_CLIENTS; i++) threads.add(reconnectUntil(world, stop));
+            for (int i = 0; i < INCOMPLETE_CLIENTS; i++) threads.add(reconnectUntil(fixture, stop));
             for (int i = 0; i < REQUESTS; i++) {
                 deadlineMs.put("a" + i, System.nanoTime() / 1e6 + BUDGET_MS);
-                try (Socket client = send(world, request("a" + i, "lookup", "" + BUDGET_MS / 1_000))) {
+                try (Socket client = send(fixture, request("a" + i, "lookup", "" + BUDGET_MS / 1_000))) {
                     GatewayFixture.readUntil(client, "HTTP/1.1 ");
                 }
             }
@@ -233,10 +235,10 @@
     }
 
     /** Starts a client that connects, sends half a request, stays until it is closed, and starts again. */
-    private static Thread reconnectUntil(GatewayFixture world, AtomicBoolean stop) {
+    private static Thread reconnectUntil(GatewayFixture fixture, AtomicBoolean stop) {
         Thread thread = new Thread(() -> {
             while (!stop.get()) {
-                try (Socket socket = send(world, "POST / HTTP/1.1\r\nReq-")) {
+                try (Socket socket = send(fixture, "POST / HTTP/1.1\r\nReq-")) {
                     GatewayFixture.readAll(socket.getInputStream());
                 } catch (Exception e) {
                     return; // the test is over
@@ -252,11 +254,11 @@
         List<Socket> clients = new ArrayList<>();
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().sockets(256).engine("r", "prefill", reader)
+                GatewayFixture fixture = new GatewayFixture().sockets(256).engine("r", "prefill", reader)
                         .engine("w", "decode", writer)
                         .start()) {
-            for (int i = 0; i < clientCount; i++) clients.add(send(world, text));
-            try (Socket client = send(world, request("a1", "lookup", BUDGET_S))) {
+            for (int i = 0; i < clientCount; i++) clients.add(send(fixture, text));
+            try (Socket client = send(fixture, request("a1", "lookup", BUDGET_S))) {
                 long sentNanos = System.nanoTime();
                 GatewayFixture.readUntil(client, "HTTP/1.1 ");
                 return (System.nanoTime() - sentNanos) / 1e6;
@@ -270,9 +272,9 @@
     @Test
     void idleConnectionsAreClosedForNewOnes() throws Exception {
         List<Socket> clients = new ArrayList<>();
-        try (GatewayFixture world = new GatewayFixture().sockets(128).start()) {
+        try (GatewayFixture fixture = new GatewayFixture().sockets(128).start()) {
             for (int i = 0; i < 100; i++) {
-                clients.add(send(world, READY));
+                clients.add(send(fixture, READY));
                 assertThat(clients.get(i).getInputStream().read()).isEqualTo('H');
             }
             assertThat(GatewayFixture.readAll(clients.get(0).getInputStream())).startsWith("TTP/1.1 200");
--- a/src/test/java/maplerail/front/MalformedRequestTest.java
+++ b/src/test/java/maplerail/front/MalformedRequestTest.java
@@ -18,8 +18,8 @@
     private static final int READ_TIMEOUT_MS = 20_000; // ends a test that would otherwise hang
     private static final String LENGTH_HEADER = "Content-Length: 15\r\n";
 
-    private static String send(GatewayFixture world, String text) throws IOException {
-        try (Socket client = world.connect()) {
+    private static String send(GatewayFixture fixture, String text) throws IOException {
+        try (Socket client = fixture.connect()) {
             client.setSoTimeout(READ_TIMEOUT_MS);
             try {
                 client.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -49,10 +49,11 @@
     void requestWithInvalidBodyLengthIsRejected(String framing) throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
             long startNanos = System.nanoTime();
-            String answer = send(world, request("a1", "lookup", "60").replace(LENGTH_HEADER, framing));
+            String answer = send(fixture, request("a1", "lookup", "60").replace(LENGTH_HEADER, framing));
             assertThat(System.nanoTime() - startNanos).isLessThan(MAX_ANSWER_MS * 1_000_000L);
             assertThat(answer).doesNotContain(" 200 ").matches("(?s)(HTTP/1.1 [45].*)?(<reset>)?");
             assertThat(reader.seen).isEmpty();
@@ -62,9 +63,9 @@
     @Test
     void endlessHeadIsRejected() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start()) {
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).start()) {
             String endless = "POST / HTTP/1.1\r\n" + "X-Padding: more and more\r\n".repeat(40_000);
-            assertThat(send(world, endless)).doesNotContain(" 200 ");
+            assertThat(send(fixture, endless)).doesNotContain(" 200 ");
             assertThat(reader.seen).isEmpty();
         }
     }
@@ -73,15 +74,16 @@
     void requestCutOffByACloseIsNotForwarded() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
             String fullRequest = request("half", "lookup", "5.0");
             for (int length : new int[] {1, 30, fullRequest.indexOf("\r\n\r\n"), fullRequest.length() - 1}) {
-                try (Socket client = world.connect()) {
+                try (Socket client = fixture.connect()) {
                     client.getOutputStream().write(fullRequest.substring(0, length).getBytes(StandardCharsets.UTF_8));
                 }
             }
-            assertThat(world.exchange(request("whole", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
+            assertThat(fixture.exchange(request("whole", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
             assertThat(reader.count("POST")).isEqualTo(1);
         }
     }
@@ -90,9 +92,10 @@
     void validRequestSentByteByByteIsServed() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start();
-                Socket client = world.connect()) {
+                Socket client = fixture.connect()) {
             client.setTcpNoDelay(true);
             String fullRequest = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
             for (byte singleByte : fullRequest.getBytes(StandardCharsets.UTF_8)) {
--- a/src/test/java/maplerail/front/PlatformTest.java
+++ b/src/test/java/maplerail/front/PlatformTest.java
@@ -20,14 +20,15 @@
     void requestGoesToReaderThenWriterAndEventsPassUnchanged() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
-            String answer = world.exchange(request("a1", "lookup", "5.0"));
+            String answer = fixture.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).startsWith("HTTP/1.1 200").contains("data: {\"a\":1}\n\n", "data: [DONE]\n\n")
                     .endsWith("0\r\n\r\n");
             assertThat(reader.seen).containsExactly("POST /v1/chat/completions?x=%41");
             assertThat(writer.seen).containsExactly("POST /v1/chat/completions?x=%41");
-            await("no request is retained", () -> world.gateway.retainedRequests() == 0);
+            await("no request is retained", () -> fixture.gateway.retainedRequests() == 0);
         }
     }
 
@@ -48,8 +49,8 @@
             """)
     void invalidRequestIsRejectedAndNotForwarded(String valid, String invalid, int status) throws Exception {
         try (StandIn reader = GatewayFixture.reader();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start()) {
-            String answer = world.exchange(request("a1", "lookup", "5.0").replace(valid, invalid));
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).start()) {
+            String answer = fixture.exchange(request("a1", "lookup", "5.0").replace(valid, invalid));
             assertThat(answer).startsWith("HTTP/1.1 " + status);
             assertThat(reader.seen).isEmpty();
         }
@@ -58,8 +59,8 @@
     @Test
     void chunkedBodyHasTheSameSizeLimit() throws Exception {
         try (StandIn reader = GatewayFixture.reader();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start();
-                Socket client = world.connect()) {
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).start();
+                Socket client = fixture.connect()) {
             String head = request("a1", "lookup", "5.0").replace("Content-Length: 15", "Transfer-Encoding: chunked")
                     .replace("{\"stream\":true}", "");
             client.getOutputStream().write((head + ("10000\r\n" + "x".repeat(0x10000) + "\r\n").repeat(5) + "0\r\n\r\n")
@@ -76,29 +77,29 @@
         try (StandIn silent = new StandIn(StandIn.Exchange::awaitClose);
                 StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().withDiscovery(silent).engine("r", "prefill", reader)
+                GatewayFixture fixture = new GatewayFixture().withDiscovery(silent).engine("r", "prefill", reader)
                         .engine("w", "decode", writer).start()) {
-            assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
+            assertThat(fixture.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
         }
     }
 
     @Test
     void requestRefusedByTheModuleGetsRetryAfter() throws Exception {
-        try (GatewayFixture world = new GatewayFixture().start()) {
-            assertThat(world.gateway.retainedRequests()).isZero();
+        try (GatewayFixture fixture = new GatewayFixture().start()) {
+            assertThat(fixture.gateway.retainedRequests()).isZero();
             try (StandIn drained = GatewayFixture.reader()) {
-                world.engine("r", "prefill", drained, "terminating");
-                await("ready", () -> status(world, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").contains(" 200 "));
-                assertThat(world.exchange(request("a1", "lookup", "0.1")))
+                fixture.engine("r", "prefill", drained, "terminating");
+                await("ready", () -> status(fixture, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").contains(" 200 "));
+                assertThat(fixture.exchange(request("a1", "lookup", "0.1")))
                         .startsWith("HTTP/1.1 503").contains("Retry-After: 1.000");
                 assertThat(drained.seen).isEmpty();
             }
         }
     }
 
-    private static String status(GatewayFixture world, String request) {
+    private static String status(GatewayFixture fixture, String request) {
         try {
-            return world.exchange(request);
+            return fixture.exchange(request);
         } catch (java.io.IOException e) {
             return "";
         }
@@ -129,12 +130,12 @@
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
                 StandIn other = new StandIn(handler);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
                         .engine("w1", "decode", writer)
                         .engine("w2", "decode", other).start()) {
-            assertThat(world.exchange(request("a1", kind, "5.0"))).startsWith("HTTP/1.1 " + status);
+            assertThat(fixture.exchange(request("a1", kind, "5.0"))).startsWith("HTTP/1.1 " + status);
             assertThat(writer.count("POST") + other.count("POST")).isEqualTo(sends);
-            await("no request is retained", () -> world.gateway.retainedRequests() == 0);
+            await("no request is retained", () -> fixture.gateway.retainedRequests() == 0);
             if (status == 502)
                 await("the state is released", () -> reader.count("DELETE /internal/reservations/a1") > 0);
         }
@@ -149,9 +150,10 @@
         };
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
-            String answer = world.exchange(request("a1", "lookup", "5.0"));
+            String answer = fixture.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).contains("data: 1\n\n").doesNotContain("hal").doesNotContain("\r\n0\r\n");
             assertThat(writer.count("POST")).isEqualTo(1);
         }
@@ -169,9 +171,10 @@
         };
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
-            assertThat(world.exchange(request("a1", "lookup", "5.0"))).doesNotContain("\r\n0\r\n");
+            assertThat(fixture.exchange(request("a1", "lookup", "5.0"))).doesNotContain("\r\n0\r\n");
         }
     }
 
@@ -188,9 +191,10 @@
         };
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
-            String answer = world.exchange(request("a1", "lookup", "5.0"));
+            String answer = fixture.exchange(request("a1", "lookup", "5.0"));
             assertThat(answer).endsWith("data: 1\n\n\r\n").doesNotContain("data: 2").doesNotContain("\r\n0\r\n");
             await("the corrupt connection is closed", () -> writer.closedConnections() == 1);
         }
@@ -203,9 +207,10 @@
             x.write(head);
             x.awaitClose();
         });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
-            assertThat(world.exchange(request("a1", "repair-order", "15.0"))).startsWith("HTTP/1.1 502");
+            assertThat(fixture.exchange(request("a1", "repair-order", "15.0"))).startsWith("HTTP/1.1 502");
             assertThat(writer.count("POST")).isEqualTo(1);
         }
     }
@@ -221,15 +226,15 @@
         try (StandIn reader = new StandIn(rejecting);
                 StandIn other = new StandIn(rejecting);
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r1", "prefill", reader)
+                GatewayFixture fixture = new GatewayFixture().engine("r1", "prefill", reader)
                         .engine("r2", "prefill", other)
                         .engine("w", "decode", writer).start()) {
             for (int i = 1; i <= 10; i++) {
-                assertThat(world.exchange(request("bad" + i, "lookup", "5.0"))).startsWith("HTTP/1.1 400");
+                assertThat(fixture.exchange(request("bad" + i, "lookup", "5.0"))).startsWith("HTTP/1.1 400");
                 assertThat(reader.count("POST") + other.count("POST")).isEqualTo(i);
             }
-            assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
-            await("no request is retained", () -> world.gateway.retainedRequests() == 0);
+            assertThat(fixture.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
+            await("no request is retained", () -> fixture.gateway.retainedRequests() == 0);
         }
     }
 
@@ -241,9 +246,10 @@
         };
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(handler);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
-            assertThat(world.exchange(request("a1", "lookup", "5.0"))).doesNotContain("\r\n0\r\n");
+            assertThat(fixture.exchange(request("a1", "lookup", "5.0"))).doesNotContain("\r\n0\r\n");
         }
     }
 
@@ -258,15 +264,16 @@
         };
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(silent);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start()) {
-            Socket client = world.connect();
+            Socket client = fixture.connect();
             client.getOutputStream().write(request("a1", "repair-order", "5.0").getBytes(StandardCharsets.UTF_8));
             assertThat(Double.parseDouble(take(waiting).headers.get("req-deadline"))).isBetween(0.0, 5.0);
             client.close();
             assertThat(take(ended)).isEqualTo("a1");
             await("the state is released", () -> reader.count("DELETE /internal/reservations/a1") > 0);
-            await("no request is retained", () -> world.gateway.retainedRequests() == 0);
+            await("no request is retained", () -> fixture.gateway.retainedRequests() == 0);
         }
     }
 
@@ -275,20 +282,20 @@
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
                 StandIn other = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
                         .engine("w1", "decode", writer)
                         .engine("w2", "decode", other).start()) {
             BlockingQueue<String> answers = GatewayFixture.queue();
-            world.engine("w1", "decode", writer, "terminating");
-            world.engine("x", "decode", writer, "terminating");
+            fixture.engine("w1", "decode", writer, "terminating");
+            fixture.engine("x", "decode", writer, "terminating");
             await("the gateway stops using w1", () -> {
                 long before = writer.count("POST");
-                answers.add(status(world, request("t" + answers.size(), "lookup", "5.0")));
+                answers.add(status(fixture, request("t" + answers.size(), "lookup", "5.0")));
                 return writer.count("POST") == before;
             });
             long before = writer.count("POST");
             for (int i = 0; i < 10; i++) {
-                assertThat(world.exchange(request("b" + i, "lookup", "5.0"))).startsWith("HTTP/1.1 200");
+                assertThat(fixture.exchange(request("b" + i, "lookup", "5.0"))).startsWith("HTTP/1.1 200");
             }
             assertThat(other.count("POST")).isGreaterThanOrEqualTo(10);
             assertThat(writer.count("POST")).isEqualTo(before);
@@ -300,9 +307,10 @@
         BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(streams::add);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start();
-                Socket client = world.connect()) {
+                Socket client = fixture.connect()) {
             client.getOutputStream().write(request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
             StandIn.Exchange first = take(streams);
             String closing = request("a2", "lookup", "5.0").replaceFirst("\r\n", "\r\nConnection: close\r\n");
@@ -320,9 +328,10 @@
         BlockingQueue<StandIn.Exchange> streams = GatewayFixture.queue();
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = new StandIn(streams::add);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start();
-                Socket client = world.connect()) {
+                Socket client = fixture.connect()) {
             client.setSoTimeout(2_000);
             String next = request("a2", "lookup", "5.0").repeat(9).substring(0, pipelinedBytes);
             client.getOutputStream().write((request("a1", "lookup", "5.0") + next).getBytes(StandardCharsets.UTF_8));
@@ -340,7 +349,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250, 1_000})
     void pipelinedBytesDoNotDelayARefusal(int pipelinedBytes) throws Exception {
-        try (GatewayFixture world = new GatewayFixture().start(); Socket client = world.connect()) {
+        try (GatewayFixture fixture = new GatewayFixture().start(); Socket client = fixture.connect()) {
             client.setSoTimeout(2_000);
             String next = request("a2", "lookup", "5.0").repeat(9).substring(0, pipelinedBytes);
             client.getOutputStream().write((request("a1", "nonsense", "5.0") + next).getBytes(StandardCharsets.UTF_8));
@@ -352,7 +361,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 40, 250})
     void pipelinedBytesDoNotDelayTheReadinessCheck(int pipelinedBytes) throws Exception {
-        try (GatewayFixture world = new GatewayFixture().start(); Socket client = world.connect()) {
+        try (GatewayFixture fixture = new GatewayFixture().start(); Socket client = fixture.connect()) {
             client.setSoTimeout(2_000);
             String next = request("a2", "lookup", "5.0").repeat(2).substring(0, pipelinedBytes);
             String ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -373,8 +382,8 @@
             ended.add(x.headers.get("req-id"));
         };
         try (StandIn reader = new StandIn(silent);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start()) {
-            try (Socket client = world.connect()) {
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).start()) {
+            try (Socket client = fixture.connect()) {
                 client.getOutputStream().write(request("a1", "repair-order", "60").getBytes(StandardCharsets.UTF_8));
                 take(waiting);
                 StringBuilder pipelined = new StringBuilder();
@@ -382,7 +391,7 @@
                 client.getOutputStream().write(pipelined.toString().getBytes(StandardCharsets.UTF_8));
             }
             assertThat(take(ended)).isEqualTo("a1");
-            await("no request is retained", () -> world.gateway.retainedRequests() == 0);
+            await("no request is retained", () -> fixture.gateway.retainedRequests() == 0);
             assertThat(reader.count("POST")).isEqualTo(1);
         }
     }
@@ -393,9 +402,10 @@
     void manyPipelinedRequestsAreAnsweredInOrder(int requests) throws Exception {
         try (StandIn reader = GatewayFixture.reader();
                 StandIn writer = GatewayFixture.writer();
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start();
-                Socket client = world.connect()) {
+                Socket client = fixture.connect()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
                 all.append(request("a" + i, i % 2 == 0 ? "lookup" : "nonsense", "5.0"));
@@ -415,11 +425,11 @@
             waiting.add(x);
             x.awaitClose();
         });
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).start();
-                Socket first = world.connect()) {
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader).start();
+                Socket first = fixture.connect()) {
             first.getOutputStream().write(request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
             take(waiting);
-            assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 409");
+            assertThat(fixture.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 409");
         }
     }
 }
--- a/src/test/java/maplerail/front/ToolCallTest.java
+++ b/src/test/java/maplerail/front/ToolCallTest.java
@@ -32,10 +32,10 @@
         String lastText;
         WebSocket socket;
 
-        static Client connect(GatewayFixture world, String team) {
+        static Client connect(GatewayFixture fixture, String team) {
             Client client = new Client();
             client.socket = HttpClient.newHttpClient().newWebSocketBuilder().header("Req-Owner", team)
-                    .buildAsync(URI.create("ws://127.0.0.1:" + world.gateway.rpcAddress().getPort() + "/rpc"), client)
+                    .buildAsync(URI.create("ws://127.0.0.1:" + fixture.gateway.rpcAddress().getPort() + "/rpc"), client)
                     .join();
             return client;
         }
@@ -93,7 +93,7 @@
         return "\"services\":{\"records\":{\"path\":\"/tool\",\"servers\":[\"" + list + "\"]}},";
     }
 
-    private static GatewayFixture startWorld(StandIn... servers) throws Exception {
+    private static GatewayFixture startFixture(StandIn... servers) throws Exception {
         return new GatewayFixture().start(toolsConfig(serversJson(servers), "5000", 4, 1000));
     }
 
@@ -114,14 +114,15 @@
             streams.add(x);
         });
                 StandIn tool = new StandIn(calls::add);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start(toolsConfig(serversJson(tool), "5000", 4, 1000))) {
-            Client client = Client.connect(world, "cyngor-glannau");
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.startAnswer(1);
             assertThat(take(client.events)).isEqualTo("one");
             client.call(2, "orders.raise");
             StandIn.Exchange call = take(calls);
-            world.engine("w", "decode", writer, "terminating");
+            fixture.engine("w", "decode", writer, "terminating");
             StandIn.Exchange stream = take(streams);
             stream.chunk("data: two\n\n");
             assertThat(take(client.events)).isEqualTo("two");
@@ -134,7 +135,7 @@
             assertThat(client.nextAnswer().at("id").number()).isEqualTo(1);
             assertThat(client.answerCount).hasValue(2);
             assertThat(tool.count("POST /tool")).isEqualTo(1);
-            await("no request is retained", () -> world.gateway.retainedRequests() == 0);
+            await("no request is retained", () -> fixture.gateway.retainedRequests() == 0);
         }
     }
 
@@ -148,9 +149,10 @@
             streams.add(x);
         });
                 StandIn tool = new StandIn(calls::add);
-                GatewayFixture world = new GatewayFixture().engine("r", "prefill", reader).engine("w", "decode", writer)
+                GatewayFixture fixture = new GatewayFixture().engine("r", "prefill", reader)
+                        .engine("w", "decode", writer)
                         .start(toolsConfig(serversJson(tool), "5000", 4, 1000))) {
-            Client client = Client.connect(world, "cyngor-glannau");
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.startAnswer(1);
             take(client.events);
             client.call(2, "orders.raise");
@@ -174,13 +176,13 @@
             calls.add(x);
             x.awaitClose();
             ended.add("ended");
-        }); GatewayFixture world = startWorld(tool)) {
-            Client client = Client.connect(world, "cyngor-glannau");
+        }); GatewayFixture fixture = startFixture(tool)) {
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.call(1, "orders.raise");
             take(calls);
             client.socket.abort();
             take(ended);
-            await("no request is retained", () -> world.gateway.retainedRequests() == 0);
+            await("no request is retained", () -> fixture.gateway.retainedRequests() == 0);
             assertThat(effects).hasValue(1);
             assertThat(client.answerCount).hasValue(0);
         }
@@ -195,13 +197,13 @@
         };
         try (StandIn one = new StandIn(reset);
                 StandIn two = new StandIn(reset);
-                GatewayFixture world = startWorld(one, two)) {
-            Client client = Client.connect(world, "cyngor-glannau");
+                GatewayFixture fixture = startFixture(one, two)) {
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.call(1, "orders.raise");
             JsonValue error = client.nextAnswer().at("error");
             assertThat(error.at("code").number()).isEqualTo(-32001);
             assertThat(error.at("data").at("mayHaveRun").isTrue()).isTrue();
-            await("no request is retained", () -> world.gateway.retainedRequests() == 0);
+            await("no request is retained", () -> fixture.gateway.retainedRequests() == 0);
             assertThat(effects).hasValue(1);
             assertThat(client.answerCount).hasValue(1);
         }
@@ -216,8 +218,8 @@
         };
         try (StandIn one = new StandIn(failOnce);
                 StandIn two = new StandIn(failOnce);
-                GatewayFixture world = startWorld(one, two)) {
-            Client client = Client.connect(world, "cyngor-glannau");
+                GatewayFixture fixture = startFixture(one, two)) {
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.call(1, "columns.find");
             assertThat(client.nextAnswer().at("result").present()).isTrue();
             assertThat(one.count("POST") + two.count("POST")).isEqualTo(2);
@@ -234,8 +236,8 @@
         };
         try (StandIn one = new StandIn(failOnce);
                 StandIn two = new StandIn(failOnce);
-                GatewayFixture world = startWorld(one, two)) {
-            Client client = Client.connect(world, "cyngor-glannau");
+                GatewayFixture fixture = startFixture(one, two)) {
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.call(1, "orders.raise");
             assertThat(client.nextAnswer().at("result").present()).isTrue();
         }
@@ -244,11 +246,11 @@
     @Test
     void callIsAnsweredByItsDeadline() throws Exception {
         try (StandIn tool = new StandIn(StandIn.Exchange::awaitClose);
-                GatewayFixture world = new GatewayFixture().start(toolsConfig(serversJson(tool), "200", 4, 1000))) {
-            Client client = Client.connect(world, "cyngor-glannau");
+                GatewayFixture fixture = new GatewayFixture().start(toolsConfig(serversJson(tool), "200", 4, 1000))) {
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.call(1, "orders.raise");
             assertThat(client.nextAnswer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
-            await("no request is retained", () -> world.gateway.retainedRequests() == 0);
+            await("no request is retained", () -> fixture.gateway.retainedRequests() == 0);
             assertThat(tool.count("POST")).isEqualTo(1);
         }
     }
@@ -257,8 +259,8 @@
     void teamsCallsInFlightAreLimitedAndFreed() throws Exception {
         BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
         try (StandIn tool = new StandIn(calls::add);
-                GatewayFixture world = new GatewayFixture().start(toolsConfig(serversJson(tool), "5000", 1, 1000))) {
-            Client client = Client.connect(world, "cyngor-glannau");
+                GatewayFixture fixture = new GatewayFixture().start(toolsConfig(serversJson(tool), "5000", 1, 1000))) {
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.call(1, "columns.find");
             StandIn.Exchange first = take(calls);
             client.call(2, "columns.find");
@@ -277,8 +279,8 @@
     @Test
     void replyAboveTheContractsLimitFails() throws Exception {
         try (StandIn tool = toolServer(new AtomicInteger());
-                GatewayFixture world = new GatewayFixture().start(toolsConfig(serversJson(tool), "5000", 4, 20))) {
-            Client client = Client.connect(world, "cyngor-glannau");
+                GatewayFixture fixture = new GatewayFixture().start(toolsConfig(serversJson(tool), "5000", 4, 20))) {
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.call(1, "columns.find");
             assertThat(client.nextAnswer().at("error").at("data").at("outcome").text()).isEqualTo("failed");
             assertThat(tool.count("POST")).isEqualTo(1);
@@ -288,8 +290,8 @@
     @Test
     void cancelledCallGetsOneAnswerAndFreesItsId() throws Exception {
         BlockingQueue<StandIn.Exchange> calls = GatewayFixture.queue();
-        try (StandIn tool = new StandIn(calls::add); GatewayFixture world = startWorld(tool)) {
-            Client client = Client.connect(world, "cyngor-glannau");
+        try (StandIn tool = new StandIn(calls::add); GatewayFixture fixture = startFixture(tool)) {
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.call(1, "orders.raise");
             StandIn.Exchange call = take(calls);
             client.call(1, "orders.raise");
@@ -299,7 +301,7 @@
             client.send("{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":1}}");
             assertThat(client.nextAnswer().at("error").at("code").number()).isEqualTo(-32003);
             call.awaitClose();
-            await("no request is retained", () -> world.gateway.retainedRequests() == 0);
+            await("no request is retained", () -> fixture.gateway.retainedRequests() == 0);
             assertThat(tool.count("POST")).isEqualTo(1);
         }
     }
@@ -322,8 +324,8 @@
             """)
     void invalidMessagesAreRejectedAndNotForwarded(String message, int code) throws Exception {
         AtomicInteger effects = new AtomicInteger();
-        try (StandIn tool = toolServer(effects); GatewayFixture world = startWorld(tool)) {
-            Client client = Client.connect(world, "cyngor-glannau");
+        try (StandIn tool = toolServer(effects); GatewayFixture fixture = startFixture(tool)) {
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.send(message);
             assertThat(client.nextAnswer().at("error").at("code").number()).isEqualTo(code);
             client.send("{\"jsonrpc\":\"2.0\",\"id\":\"x\",\"method\":\"ping\"}");
@@ -335,8 +337,8 @@
     @Test
     void argumentAboveTheContractsLimitIsNotForwarded() throws Exception {
         AtomicInteger effects = new AtomicInteger();
-        try (StandIn tool = toolServer(effects); GatewayFixture world = startWorld(tool)) {
-            Client client = Client.connect(world, "cyngor-glannau");
+        try (StandIn tool = toolServer(effects); GatewayFixture fixture = startFixture(tool)) {
+            Client client = Client.connect(fixture, "cyngor-glannau");
             client.send("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"columns.find\","
                     + "\"arguments\":{\"a\":\"" + "x".repeat(200) + "\"}}}");
             assertThat(client.nextAnswer().at("error").at("code").number()).isEqualTo(-32602);
@@ -346,8 +348,8 @@
 
     @Test
     void unknownTeamIsRejected() throws Exception {
-        try (StandIn tool = toolServer(new AtomicInteger()); GatewayFixture world = startWorld(tool)) {
-            assertThatThrownBy(() -> Client.connect(world, "nobody")).isInstanceOf(CompletionException.class);
+        try (StandIn tool = toolServer(new AtomicInteger()); GatewayFixture fixture = startFixture(tool)) {
+            assertThatThrownBy(() -> Client.connect(fixture, "nobody")).isInstanceOf(CompletionException.class);
         }
     }
 
@@ -358,9 +360,9 @@
         try (StandIn first = toolServer(one);
                 StandIn second = toolServer(two);
                 ConsulStandIn consul = new ConsulStandIn(first, second);
-                GatewayFixture world = new GatewayFixture().start(toolsConfig("\"consul\":\"" + consul.address()
+                GatewayFixture fixture = new GatewayFixture().start(toolsConfig("\"consul\":\"" + consul.address()
                         + "\",\"services\":{\"records\":{\"path\":\"/tool\"}},", "300", 4, 1000))) {
-            Client client = Client.connect(world, "cyngor-glannau");
+            Client client = Client.connect(fixture, "cyngor-glannau");
             await("the service is found", () -> isServed(client));
             consul.status(0, "critical");
             await("server 0 gets no more calls", () -> {
--- a/src/test/java/maplerail/soak/GatewayProcess.java
+++ b/src/test/java/maplerail/soak/GatewayProcess.java
@@ -72,7 +72,7 @@
         Files.move(next, config(), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** True while clients may use the gateway: it is ready and has not been told to end. */
+    /** True while clients may use the gateway: it is ready and is not being stopped. */
     boolean acceptsClients() {
         return up && !ending;
     }
--- a/src/test/java/maplerail/soak/Ledger.java
+++ b/src/test/java/maplerail/soak/Ledger.java
@@ -92,7 +92,7 @@
         double fullySentMs = Double.NaN;
         double clientLeftMs = Double.NaN;
         boolean gatewayKilled;
-        /** True if the request came long after SIGTERM and the gateway was killed before it sent the due answer. */
+        /** True if the request arrived long after SIGTERM and the gateway was killed before it sent the due answer. */
         boolean answerWasDue;
         boolean heldReported;
 
@@ -184,7 +184,7 @@
 
     /**
      * Records that a gateway was killed. Nobody has to release its states or answer its requests any more, except for
-     * requests that came late enough after SIGTERM: those should have been answered before.
+     * requests that arrived late enough after SIGTERM: those should have been answered before.
      *
      * @param mustAnswerFromMs requests that were fully sent after this time had to be answered
      */
--- a/src/test/java/maplerail/support/HeldTimesTest.java
+++ b/src/test/java/maplerail/support/HeldTimesTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aReleaseThatComesTooLateIsReported() {
+    void aLateReleaseIsReported() {
         times.declined(ID);
         nowMs += HeldTimes.LIMIT_MS;
         times.released(ID);
